--- a/route/admission.go
+++ b/route/admission.go
@@ -8,20 +8,20 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Admission counts requests in flight per service and team and refuses those
-// over a cap. Each of n live instances enforces its part of a cap, rounded up,
-// so that all together overshoot it by at most n-1 requests.
+// Admission counts requests in flight per service and team and refuses requests over
+// a cap. Each of n live instances enforces its share of a cap, rounded up, so that
+// all instances together exceed it by at most n-1 requests.
 type Admission struct {
 	instances atomic.Int64
 	services  sync.Map // service name -> *atomic.Int64
 	teams     sync.Map // team name -> *atomic.Int64
-	// total counts the requests in flight of all teams, and shares adds up the
-	// shares of the teams that have any.
-	total  atomic.Int64
-	shares atomic.Int64
+	// total counts the requests in flight of all teams. activeShares is the sum of
+	// the shares of the teams that have any in flight.
+	total        atomic.Int64
+	activeShares atomic.Int64
 }
 
-// Place is a request's place within the caps. Leave gives it back.
+// Place is a request's slot within the caps. Leave releases it.
 type Place struct {
 	admission *Admission
 	service   *atomic.Int64
@@ -36,13 +36,13 @@
 	return a
 }
 
-// SetInstances tells how many live instances share the caps.
+// SetInstances sets the number of live instances that share the caps.
 func (a *Admission) SetInstances(n int) { a.instances.Store(int64(max(n, 1))) }
 
-// noTeam stands for callers of no team, or of one that has no row.
+// noTeam applies to callers without a team and to callers whose team has no row.
 var noTeam = &table.TeamView{Share: 1}
 
-// Admit takes a place for the request, or says which cap refuses it.
+// Admit reserves a place for the request, or returns the cap that refuses it.
 func (a *Admission) Admit(service *table.ServiceView, team *table.TeamView) (*Place, reason.Reason) {
 	if team == nil {
 		team = noTeam
@@ -50,10 +50,10 @@
 	place := &Place{
 		admission: a, service: counter(&a.services, service.Name), team: counter(&a.teams, team.Name), share: int64(team.Share),
 	}
-	if !a.enter(place.service, a.part(service.InFlight)) {
+	if !a.increment(place.service, a.localLimit(service.InFlight)) {
 		return nil, reason.ServiceCap
 	}
-	if !a.enterTeam(place, a.part(team.InFlight)) {
+	if !a.incrementTeam(place, a.localLimit(team.InFlight)) {
 		place.service.Add(-1)
 		return nil, reason.TeamCap
 	}
@@ -61,32 +61,32 @@
 	return place, reason.None
 }
 
-// Leave gives the place back.
+// Leave releases the place.
 func (p *Place) Leave() {
 	p.service.Add(-1)
 	p.admission.total.Add(-1)
-	p.admission.leaveTeam(p)
+	p.admission.decrementTeam(p)
 }
 
-// OverShare is the part of all requests in flight that are the team's, as a
-// multiple of its part of the shares of the teams that have any: over 1, it
-// has more than its share.
+// OverShare returns the team's fraction of all requests in flight, divided by its
+// fraction of the shares of all teams that have any in flight. Above 1 the team uses
+// more than its share.
 func (p *Place) OverShare() float64 {
 	own, total := p.team.Load(), p.admission.total.Load()
-	shares := p.admission.shares.Load()
+	shares := p.admission.activeShares.Load()
 	if total <= 0 || shares <= p.share {
 		return 1
 	}
 	return float64(own*shares) / float64(total*p.share)
 }
 
-// part is this instance's part of a cap; 0 means no cap.
-func (a *Admission) part(limit int) int64 {
+// localLimit returns this instance's share of a cap. 0 means no cap.
+func (a *Admission) localLimit(limit int) int64 {
 	n := a.instances.Load()
 	return (int64(limit) + n - 1) / n
 }
 
-func (a *Admission) enter(count *atomic.Int64, limit int64) bool {
+func (a *Admission) increment(count *atomic.Int64, limit int64) bool {
 	if count.Add(1) <= limit || limit == 0 {
 		return true
 	}
@@ -94,25 +94,26 @@
 	return false
 }
 
-// enterTeam is enter, and counts the team's share from its first request on.
-func (a *Admission) enterTeam(p *Place, limit int64) bool {
-	now := p.team.Add(1)
-	if now == 1 {
-		a.shares.Add(p.share)
+// incrementTeam works like increment, and adds the team's share with its first
+// request.
+func (a *Admission) incrementTeam(p *Place, limit int64) bool {
+	inFlight := p.team.Add(1)
+	if inFlight == 1 {
+		a.activeShares.Add(p.share)
 	}
-	if now <= limit || limit == 0 {
+	if inFlight <= limit || limit == 0 {
 		return true
 	}
-	a.leaveTeam(p)
+	a.decrementTeam(p)
 	return false
 }
 
-// leaveTeam takes the share out again with the team's last request. Each
-// change of the count from and to nought adds and takes one share, so the sum
-// is exact whatever the order.
-func (a *Admission) leaveTeam(p *Place) {
+// decrementTeam removes the team's share with its last request. Each change of the
+// count from and to zero adds and removes one share, so the sum is exact in any
+// order.
+func (a *Admission) decrementTeam(p *Place) {
 	if p.team.Add(-1) == 0 {
-		a.shares.Add(-p.share)
+		a.activeShares.Add(-p.share)
 	}
 }
 
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// fleetOf makes a fleet and pool of that many decode engines with reports.
+// fleetOf returns a fleet and a pool of that many decode engines with reports.
 func fleetOf(workers int) (*Fleet, []*table.BackendView) {
 	view := &table.View{Backends: make(map[string]*table.BackendView)}
 	pool := make([]*table.BackendView, workers)
@@ -25,7 +25,7 @@
 	return fleet, pool
 }
 
-// BenchmarkDecide is the cost of one placement decision by pool size.
+// BenchmarkDecide measures one placement decision by pool size.
 func BenchmarkDecide(b *testing.B) {
 	for _, workers := range []int{12, 100, 1000, 10_000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// BenchmarkSteward is the cost of one reservation and its release by the
-// number of reservations that the engine holds.
+// BenchmarkSteward measures one reservation and its release by the number of
+// reservations that the engine holds.
 func BenchmarkSteward(b *testing.B) {
 	for _, held := range []int{0, 20, 200} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// BenchmarkOwner is the cost of finding a worker's steward by the number of
+// BenchmarkOwner measures the search for a worker's steward by the number of
 // instances in the cell.
 func BenchmarkOwner(b *testing.B) {
 	for _, instances := range []int{8, 32, 128} {
--- a/route/breaker.go
+++ b/route/breaker.go
@@ -8,7 +8,7 @@
 const (
 	// breakerThreshold is how many failures in a row open the breaker.
 	breakerThreshold = 5
-	// breakerCooldown is how long an open breaker waits before one probe.
+	// breakerCooldown is how long an open breaker waits before it allows one probe.
 	breakerCooldown = 2 * time.Second
 )
 
@@ -21,13 +21,13 @@
 	BreakerHalfOpen BreakerState = "half_open"
 )
 
-// Breaker stops requests to a backend server that fails again and again.
-// After the cooldown one request at a time is let through as a probe; its
-// success closes the breaker, its failure opens it for another cooldown. The
-// zero value is closed.
+// Breaker stops requests to a backend server that fails repeatedly. After the
+// cooldown it lets one request at a time through as a probe. A successful probe
+// closes the breaker, a failed one opens it for another cooldown. The zero value is
+// closed.
 type Breaker struct {
 	failures atomic.Int64
-	// openUntil is in nanoseconds since the epoch; 0 while closed.
+	// openUntil is in nanoseconds since the Unix epoch; 0 while closed.
 	openUntil atomic.Int64
 }
 
@@ -44,8 +44,8 @@
 	}
 }
 
-// Allow says whether a request may be sent at now. In the half-open state the
-// first caller gets the probe, and the others wait for another cooldown.
+// Allow reports whether a request may be sent at now. In the half-open state the
+// first caller sends the probe, and the others wait for another cooldown.
 func (b *Breaker) Allow(now time.Time) bool {
 	until := b.openUntil.Load()
 	if until == 0 {
@@ -67,8 +67,8 @@
 	}
 }
 
-// Failure counts a failed request, and opens the breaker when there were
-// enough in a row.
+// Failure counts a failed request, and opens the breaker after breakerThreshold
+// failures in a row.
 func (b *Breaker) Failure(now time.Time) {
 	if b.failures.Add(1) >= breakerThreshold {
 		b.openUntil.Store(now.Add(breakerCooldown).UnixNano())
--- a/route/budget.go
+++ b/route/budget.go
@@ -3,17 +3,18 @@
 import "sync/atomic"
 
 const (
-	// budgetReserve lets a quiet service retry a few times.
+	// budgetReserve is the initial number of retries, so that a service with little
+	// traffic can retry a few times.
 	budgetReserve = 10
 	// budgetUnit is one whole retry, in the budget's fixed-point units.
 	budgetUnit = 100
-	// budgetCap bounds the retries that a long quiet time can save up.
+	// budgetCap limits the credit that accumulates over a long time with few retries.
 	budgetCap = 100 * budgetUnit
 )
 
-// Budget bounds the retries of one service to a percentage of its first
-// attempts, plus a small reserve, so that an outage is not multiplied by
-// retries. Call NewBudget.
+// Budget limits the retries of one service to a percentage of its first attempts,
+// plus a small reserve, so that retries do not multiply an outage. Use NewBudget to
+// create one.
 type Budget struct{ credit atomic.Int64 }
 
 // NewBudget returns a budget that holds only the reserve.
@@ -23,14 +24,14 @@
 	return b
 }
 
-// Earn adds what one first attempt earns, at the given percentage.
+// Earn adds the credit for one first attempt, at the given percentage.
 func (b *Budget) Earn(percent int) {
 	if b.credit.Load() < budgetCap {
 		b.credit.Add(int64(percent))
 	}
 }
 
-// Spend takes one retry from the budget, or returns false when it is empty.
+// Spend takes one retry from the budget, or returns false if the budget is empty.
 func (b *Budget) Spend() bool {
 	if b.credit.Add(-budgetUnit) >= 0 {
 		return true
--- a/route/decide.go
+++ b/route/decide.go
@@ -8,24 +8,25 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Query is what a decision needs to know of a request.
+// Query is what a decision needs to know about a request.
 type Query struct {
 	RequestID    string
 	Zone         string
 	PromptTokens int
 	Pieces       int
-	// MemoryTokens is the KV memory that the request needs at a decode engine,
-	// and Spare the part of the engine's memory that must stay free beside it.
+	// MemoryTokens is the KV memory that the request needs at a decode engine. Spare
+	// is the fraction of the engine's memory that must stay free beside it.
 	MemoryTokens int
 	Spare        float64
 	// Prefixes are hashes of the prompt's prefixes, the longest last.
 	Prefixes []uint64
-	// Exclude names servers that this request has already tried in vain.
+	// Exclude names servers on which earlier attempts of this request failed.
 	Exclude []string
-	// Partner is the other server of the pair, once chosen; nil before.
+	// Partner is the other server of the prefill and decode pair; nil until it is
+	// selected.
 	Partner *table.BackendView
 	Now     time.Time
-	// Work is what is to be sent to the server.
+	// Work describes what is to be sent to the server.
 	Work backpressure.Work
 }
 
@@ -35,7 +36,7 @@
 	Server  *Server
 }
 
-// Filter drops candidates that may not be used.
+// Filter drops candidates that must not be used.
 type Filter interface {
 	Name() string
 	Keep(q *Query, c Candidate) bool
@@ -47,54 +48,54 @@
 	Score(q *Query, c Candidate) float64
 }
 
-// Weighted is a scorer with its weight in the sum.
+// Weighted is a scorer with its weight in the total.
 type Weighted struct {
 	Scorer
 	Weight float64
 }
 
-// Picker chooses among rated candidates.
+// Picker selects one of the rated candidates.
 type Picker interface {
 	Name() string
 	// Pick returns an index into rated, which is never empty.
 	Pick(q *Query, rated []Rated) int
 }
 
-// Part is what one scorer contributed.
+// Part is the score that one scorer gave.
 type Part struct {
 	Scorer string  `json:"scorer"`
 	Score  float64 `json:"score"`
 }
 
-// Rated is one candidate with what the decision saw of it.
+// Rated is one candidate with its filter result and its scores.
 type Rated struct {
 	Candidate `json:"-"`
 	Name      string `json:"name"`
-	// DroppedBy names the filter that dropped it; empty when it was kept.
+	// DroppedBy names the filter that dropped the candidate; empty if it was kept.
 	DroppedBy string  `json:"dropped_by,omitempty"`
 	Parts     []Part  `json:"parts,omitempty"`
 	Total     float64 `json:"total"`
 }
 
-// Decision is a choice with everything that led to it.
+// Decision is the result of a selection with everything that led to it.
 type Decision struct {
-	// Chosen is the picked candidate; nil when every one was dropped.
+	// Chosen is the selected candidate; nil if all candidates were dropped.
 	Chosen *Rated `json:"-"`
-	// Pick is its name, for the record.
+	// Pick is the name of the selected candidate, for the encoded decision.
 	Pick   string  `json:"pick,omitempty"`
 	Picker string  `json:"picker"`
 	Rated  []Rated `json:"rated"`
 }
 
-// Profile is the recipe of a decision: filters, then scorers, then a picker.
+// Profile defines how a server is selected: filters, then scorers, then a picker.
 type Profile struct {
 	Filters []Filter
 	Scorers []Weighted
 	Picker  Picker
 }
 
-// Decide runs the profile over the backend servers of a pool. Candidates that
-// were kept come first in the decision's list.
+// Decide runs the profile over the backend servers of a pool. Candidates that were
+// kept come first in Decision.Rated.
 func (p *Profile) Decide(q *Query, fleet *Fleet, pool []*table.BackendView) Decision {
 	decision := Decision{Picker: p.Picker.Name(), Rated: make([]Rated, 0, len(pool))}
 	dropped := make([]Rated, 0, len(pool))
--- a/route/filter_excluded.go
+++ b/route/filter_excluded.go
@@ -1,6 +1,6 @@
 package route
 
-// ExcludedFilter drops servers that the request has already tried in vain.
+// ExcludedFilter drops servers on which earlier attempts of the request failed.
 type ExcludedFilter struct{}
 
 // Name implements Filter.
--- a/route/filter_leaving.go
+++ b/route/filter_leaving.go
@@ -1,7 +1,7 @@
 package route
 
-// LeavingFilter drops servers that the operator drains or that say themselves
-// that they are leaving, on the list, in a report or in an answer, whichever is known first.
+// LeavingFilter drops servers that the operator drains or that report their own drain
+// in the list of servers, in a report or in an answer, whichever arrives first.
 type LeavingFilter struct{}
 
 // Name implements Filter.
--- a/route/filter_limit.go
+++ b/route/filter_limit.go
@@ -2,14 +2,14 @@
 
 import "github.com/mastwheel/mastwheel/backpressure"
 
-// LimitFilter drops servers whose rate limit leaves no room for the work now.
+// LimitFilter drops servers whose rate limit has no room for the work at the moment.
 type LimitFilter struct{}
 
-// filteredLimit names LimitFilter.
-const filteredLimit = "limit"
+// limitFilterName is the name of LimitFilter.
+const limitFilterName = "limit"
 
 // Name implements Filter.
-func (LimitFilter) Name() string { return filteredLimit }
+func (LimitFilter) Name() string { return limitFilterName }
 
 // Keep implements Filter.
 func (LimitFilter) Keep(q *Query, c Candidate) bool {
--- a/route/filter_memory.go
+++ b/route/filter_memory.go
@@ -1,7 +1,7 @@
 package route
 
-// MemoryFilter drops decode engines that could never hold the request. What
-// is free at the moment is the steward's question, since reports lag.
+// MemoryFilter drops decode engines whose total memory is too small for the request.
+// The steward decides whether enough of it is free at the moment, since reports lag.
 type MemoryFilter struct{}
 
 // Name implements Filter.
--- a/route/filter_reading.go
+++ b/route/filter_reading.go
@@ -1,6 +1,6 @@
 package route
 
-// NotReadingFilter drops servers that have a prompt to read.
+// NotReadingFilter drops servers that have prompt tokens left to read.
 type NotReadingFilter struct{}
 
 // Name implements Filter.
--- a/route/filter_rest.go
+++ b/route/filter_rest.go
@@ -1,13 +1,14 @@
 package route
 
-// RestFilter drops servers that have asked this instance to leave them alone for a while.
+// RestFilter drops servers in backoff: they turned away a request of this instance
+// with Retry-After, and that time has not passed.
 type RestFilter struct{}
 
-// filteredRest names RestFilter.
-const filteredRest = "resting"
+// backoffFilterName is the name of RestFilter.
+const backoffFilterName = "resting"
 
 // Name implements Filter.
-func (RestFilter) Name() string { return filteredRest }
+func (RestFilter) Name() string { return backoffFilterName }
 
 // Keep implements Filter.
 func (RestFilter) Keep(q *Query, c Candidate) bool {
--- a/route/filter_room.go
+++ b/route/filter_room.go
@@ -1,20 +1,19 @@
 package route
 
-// RoomFilter drops decode engines that would not have enough KV memory left
-// with the request, by what this instance and its siblings have committed
-// there.
+// RoomFilter drops decode engines that would have too little KV memory left with the
+// request, by the commitments of this instance and its siblings.
 type RoomFilter struct{}
 
-// filteredRoom names RoomFilter.
-const filteredRoom = "room"
+// roomFilterName is the name of RoomFilter.
+const roomFilterName = "room"
 
 // Name implements Filter.
-func (RoomFilter) Name() string { return filteredRoom }
+func (RoomFilter) Name() string { return roomFilterName }
 
 // Keep implements Filter.
 func (RoomFilter) Keep(q *Query, c Candidate) bool {
 	if c.Backend.MemoryTokens == 0 {
-		// Not known: the engine itself has the last word.
+		// The size is unknown. The engine itself decides whether the request fits.
 		return true
 	}
 	left := FreeTokens(c) - q.MemoryTokens
--- a/route/filter_room_test.go
+++ b/route/filter_room_test.go
@@ -13,37 +13,38 @@
 	fleet.Server("a").SetOthers(Commitment{Memory: 600})
 	fleet.Server("b").Hold(500)
 	fleet.Server("c").Hold(401)
-	choose := func(tokens int, spare float64) string {
+	pick := func(tokens int, spare float64) string {
 		query := &Query{RequestID: "r", Now: time.Now(), MemoryTokens: tokens, Spare: spare}
 		return ForwardDecode().Decide(query, fleet, pool).Pick
 	}
-	if got := choose(399, 0.2); got != "c" {
-		t.Errorf("chose %q of which one has room", got)
+	if got := pick(399, 0.2); got != "c" {
+		t.Errorf("selected %q, want the only engine with enough room", got)
 	}
-	if got := choose(400, 0.2); got != "" {
-		t.Errorf("chose %q though none has room", got)
+	if got := pick(400, 0.2); got != "" {
+		t.Errorf("selected %q although no engine has enough room", got)
 	}
 	for _, backend := range pool {
 		backend.MemoryTokens = 0
 	}
-	if got := choose(400, 0.2); got == "" {
+	if got := pick(400, 0.2); got == "" {
 		t.Error("an engine of unknown size was dropped")
 	}
 }
 
-// All requests of a burst see the same loads; the better of two spreads them.
-func TestDecodeEnginesAreNotAllTheBest(t *testing.T) {
+// All requests of a burst see the same loads. The better of two random engines
+// spreads them.
+func TestDecodeSelectionSpreadsRequests(t *testing.T) {
 	fleet, pool := candidatesOf(&Server{Name: "a"}, &Server{Name: "b"}, &Server{Name: "c"}, &Server{Name: "d"})
 	for i, backend := range pool {
 		backend.MemoryTokens = 1000
 		fleet.Server(backend.Name).Hold(10 * i)
 	}
-	chosen := make(map[string]int)
+	selected := make(map[string]int)
 	for i := range 400 {
 		query := &Query{RequestID: string(rune('a' + i)), Now: time.Now()}
-		chosen[ForwardDecode().Decide(query, fleet, pool).Pick]++
+		selected[ForwardDecode().Decide(query, fleet, pool).Pick]++
 	}
-	if chosen["a"] > 250 || chosen["b"] < 50 || chosen["c"] < 25 {
-		t.Errorf("chose %v", chosen)
+	if selected["a"] > 250 || selected["b"] < 50 || selected["c"] < 25 {
+		t.Errorf("selected %v", selected)
 	}
 }
--- a/route/forwarding_test.go
+++ b/route/forwarding_test.go
@@ -10,9 +10,9 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// TestSharedBudgetsKeepTheWhole: however requests and retries fall on the
-// instances, no window sees more retries than the whole budget allows.
-func TestSharedBudgetsKeepTheWhole(t *testing.T) {
+// No window sees more retries than the whole budget allows, however first attempts
+// and retries are spread over the instances.
+func TestSharedBudgetsStayWithinWholeBudget(t *testing.T) {
 	const window = 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0, 0.5).Draw(t, "ratio")
@@ -36,7 +36,8 @@
 			}
 			inWindow := count(retries, now.Add(-window), now)
 			allowed := ratio*float64(count(firsts, now.Add(-window), now)) + slack
-			// A part below two retries is rounded up to one that can be saved.
+			// A share below two retries is rounded up to one retry that can be saved
+			// up.
 			allowed += float64(instances) * max(0, 1-slack/float64(instances)/2)
 			if float64(inWindow) > allowed+1e-6 {
 				t.Fatalf("%d retries in a window, %.1f are allowed", inWindow, allowed)
@@ -55,24 +56,24 @@
 	return n
 }
 
-func TestASmallerPartTakesCreditAway(t *testing.T) {
+func TestSmallerAllowanceReducesCredit(t *testing.T) {
 	now := time.Unix(0, 0)
 	budget := NewSharedBudget(0.2, time.Second, 40, now)
 	budget.SetPart(4, now)
 	if left := budget.Left(now); left != 2 {
-		t.Fatalf("%v left", left)
+		t.Fatalf("%v retries left", left)
 	}
 	budget.SetPart(40, now)
 	if left := budget.Left(now); left != 2 {
-		t.Fatalf("a larger part was granted at once: %v", left)
+		t.Fatalf("a larger allowance was granted at once: %v retries left", left)
 	}
 }
 
-func TestSilenceIsOnlyOfThoseWhoAreWaitedFor(t *testing.T) {
+func TestSilenceRequiresWaitingRequests(t *testing.T) {
 	now := time.Now()
 	server := &Server{Name: "a"}
 	if server.SilentFor(now.Add(time.Hour)) != 0 {
-		t.Fatal("silent though nobody waits")
+		t.Fatal("silent although no request waits")
 	}
 	done := server.Await(now)
 	second := server.Await(now.Add(time.Second))
@@ -86,7 +87,7 @@
 	}
 	second()
 	if server.SilentFor(now.Add(time.Hour)) != 0 {
-		t.Fatal("silent though nobody waits")
+		t.Fatal("silent although no request waits")
 	}
 }
 
@@ -103,9 +104,9 @@
 	return fleet, pool
 }
 
-func TestForwardingLeavesUnfitServersAlone(t *testing.T) {
+func TestForwardingAvoidsUnfitServers(t *testing.T) {
 	now := time.Now()
-	for name, make := range map[string]func(*Server){
+	for name, makeUnfit := range map[string]func(*Server){
 		"silent":   func(s *Server) { s.Await(now.Add(-time.Second)) },
 		"refusing": func(s *Server) { s.Refused(now) },
 		"changing": func(s *Server) { s.Changing(now.Add(time.Second)) },
@@ -117,13 +118,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet, pool := candidatesOf(&Server{Name: "fit"}, &Server{Name: "unfit"})
-			make(fleet.Server("unfit"))
+			makeUnfit(fleet.Server("unfit"))
 			for i := range 20 {
 				query := &Query{RequestID: fmt.Sprint(i), Now: now}
 				for _, profile := range []*Profile{ForwardPlain(), ForwardPrefill(), ForwardDecode()} {
 					decision := profile.Decide(query, fleet, pool)
 					if decision.Chosen == nil || decision.Chosen.Name != "fit" {
-						t.Fatalf("chose %+v", decision.Chosen)
+						t.Fatalf("selected %+v", decision.Chosen)
 					}
 				}
 			}
@@ -131,26 +132,26 @@
 	}
 }
 
-func TestRefusalsInARowAreLeftAloneLonger(t *testing.T) {
+func TestRefusalsInARowLengthenBackoff(t *testing.T) {
 	now := time.Now()
 	server := &Server{Name: "a"}
 	keeps := func(after time.Duration) bool {
 		return RefusingFilter{}.Keep(&Query{Now: now.Add(after)}, Candidate{Server: server})
 	}
 	server.Refused(now)
-	if keeps(0) || !keeps(firstShun) {
-		t.Fatal("after one refusal")
+	if keeps(0) || !keeps(initialRefusalBackoff) {
+		t.Fatal("wrong backoff after one refusal")
 	}
 	for range 20 {
 		server.Refused(now)
 	}
-	if keeps(longestShun-time.Millisecond) || !keeps(longestShun) {
-		t.Fatal("after many refusals")
+	if keeps(maxBackoff-time.Millisecond) || !keeps(maxBackoff) {
+		t.Fatal("wrong backoff after many refusals")
 	}
 	server.Accepted()
 	server.Refused(now)
-	if !keeps(firstShun) {
-		t.Fatal("what was accepted in between does not count")
+	if !keeps(initialRefusalBackoff) {
+		t.Fatal("accepted work did not reset the backoff")
 	}
 }
 
@@ -160,15 +161,15 @@
 	fleet.Server("b").Hold(300)
 	query := &Query{Now: time.Now()}
 	if got := ForwardDecode().Decide(query, fleet, pool).Pick; got != "b" {
-		t.Fatalf("chose %s", got)
+		t.Fatalf("selected %s", got)
 	}
 	fleet.Server("b").Hold(-300)
 	if got := fleet.Server("b").Own(); got != (Commitment{}) {
-		t.Fatalf("left over: %+v", got)
+		t.Fatalf("commitment left after release: %+v", got)
 	}
 }
 
-func TestAMisdirectedServerIsLeftAloneWhateverElseItTakes(t *testing.T) {
+func TestMisdirectedServerIsAvoidedDespiteAcceptedWork(t *testing.T) {
 	now := time.Now()
 	server := &Server{Name: "a"}
 	keeps := func(after time.Duration) bool {
@@ -176,12 +177,12 @@
 	}
 	server.Misdirected(now)
 	server.Accepted()
-	if keeps(misdirectedFor-time.Millisecond) || !keeps(misdirectedFor) {
-		t.Fatal("after a misdirected request")
+	if keeps(misdirectedBackoff-time.Millisecond) || !keeps(misdirectedBackoff) {
+		t.Fatal("wrong backoff after a misdirected request")
 	}
-	server.Changing(now.Add(2 * misdirectedFor))
+	server.Changing(now.Add(2 * misdirectedBackoff))
 	server.Misdirected(now)
-	if keeps(misdirectedFor) {
+	if keeps(misdirectedBackoff) {
 		t.Fatal("a longer change of role was cut short")
 	}
 }
--- a/route/heldback.go
+++ b/route/heldback.go
@@ -6,28 +6,31 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// HeldBack says whether a choice found no server only since those that are sound would not
-// take the work now, by what they have said of themselves: why the one would not that will
-// be the first to, and how long that takes.
-func HeldBack(q *Query, rated []Rated) (why reason.Reason, opens time.Duration) {
-	for _, one := range rated {
-		reasoned := heldBackBy[one.DroppedBy]
-		if one.DroppedBy == filteredRoom {
-			// It has no memory at the moment, and would take the work else.
+// HeldBack returns why a selection found no server, if the only cause is that healthy
+// servers do not accept the work now by their reported limits or backoffs. It returns
+// the reason of the server that will accept the work first and the time until then,
+// or reason.None if there is another cause.
+func HeldBack(q *Query, rated []Rated) (refusal reason.Reason, wait time.Duration) {
+	for _, candidate := range rated {
+		filterReason := reasonByFilter[candidate.DroppedBy]
+		if candidate.DroppedBy == roomFilterName {
+			// The server has too little memory at the moment. Otherwise it would
+			// accept the work.
 			return reason.None, 0
 		}
-		if reasoned == reason.None {
+		if filterReason == reason.None {
 			continue
 		}
-		if in := one.Server.Pressure.RoomIn(q.Work, q.Now); why == reason.None || in < opens {
-			why, opens = reasoned, in
+		if roomIn := candidate.Server.Pressure.RoomIn(q.Work, q.Now); refusal == reason.None || roomIn < wait {
+			refusal, wait = filterReason, roomIn
 		}
 	}
-	return why, opens
+	return refusal, wait
 }
 
-// heldBackBy is the reason to refuse a request where a filter has dropped the servers.
-var heldBackBy = map[string]reason.Reason{
-	filteredLimit: reason.ServersLimited,
-	filteredRest:  reason.ServersResting,
+// reasonByFilter is the reason to refuse a request, by the filter that dropped the
+// servers.
+var reasonByFilter = map[string]reason.Reason{
+	limitFilterName:   reason.ServersLimited,
+	backoffFilterName: reason.ServersResting,
 }
--- a/route/lengths_test.go
+++ b/route/lengths_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestFewGuessesAreTakenAsTheyAre(t *testing.T) {
+func TestFewGuessesStayUnchanged(t *testing.T) {
 	var lengths Lengths
 	for _, guess := range []int{10, 5000, 1, 900} {
 		if got := lengths.Guessed(guess); got != guess {
@@ -15,18 +15,18 @@
 	}
 }
 
-func TestEqualGuessesStayAsTheyAre(t *testing.T) {
+func TestEqualGuessesStayUnchanged(t *testing.T) {
 	var lengths Lengths
-	for range 3 * fewGuesses {
+	for range 3 * minGuesses {
 		if got := lengths.Guessed(700); got < 699 || got > 700 {
 			t.Fatalf("700 became %d", got)
 		}
 	}
 }
 
-// Lengths vary by 0.6 in their logarithm, and guesses are off by guessError, as
-// on the users' sheets.
-func TestWhatIsExpectedIsNearerThanTheGuess(t *testing.T) {
+// The logarithm of lengths has a standard deviation of 0.6, and the logarithm of
+// guesses' errors one of guessError, as on the users' sheets.
+func TestExpectedLengthIsCloserThanGuess(t *testing.T) {
 	var lengths Lengths
 	random := rand.New(rand.NewPCG(3, 4))
 	guessOff, expectedOff := 0.0, 0.0
@@ -37,13 +37,14 @@
 		guessOff += math.Pow(math.Log(guess/length), 2)
 		expectedOff += math.Pow(math.Log(float64(expected)/length), 2)
 	}
-	// In theory 0.25 against 0.25 * 0.36 / 0.61.
+	// In theory the guesses' error is 0.25, and that of expected lengths 0.25 * 0.36
+	// / 0.61.
 	if ratio := expectedOff / guessOff; ratio < 0.55 || ratio > 0.65 {
-		t.Errorf("the squared error is %.2f of the guesses'", ratio)
+		t.Errorf("the squared error is %.2f times that of the guesses", ratio)
 	}
 }
 
-func TestGuessesOfNothingDoNoHarm(t *testing.T) {
+func TestZeroGuessesAreHarmless(t *testing.T) {
 	var lengths Lengths
 	for i := range 100 {
 		if got := lengths.Guessed(i % 2 * 1000); got < 0 {
--- a/route/pauses_test.go
+++ b/route/pauses_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-func TestNothingIsKnownBeforeEnoughPauses(t *testing.T) {
+func TestNoEstimateBeforeEnoughPauses(t *testing.T) {
 	var pauses Pauses
-	for range fewPauses - 1 {
+	for range minPauses - 1 {
 		pauses.Observe(time.Second)
 	}
 	if _, known := pauses.Most(); known {
-		t.Error("known too early")
+		t.Error("the estimate is known too early")
 	}
 }
 
@@ -26,7 +26,7 @@
 		}
 		most, known := pauses.Most()
 		if below := float64(most)/float64(scale) - 1; !known || below < 0.85 || below > 1.1 {
-			t.Errorf("%v of pauses between %v and %v", most, scale, 2*scale)
+			t.Errorf("the estimate is %v for pauses between %v and %v", most, scale, 2*scale)
 		}
 	}
 }
@@ -40,6 +40,6 @@
 		pauses.Observe(200 * time.Millisecond)
 	}
 	if most, _ := pauses.Most(); most < 180*time.Millisecond || most > 230*time.Millisecond {
-		t.Errorf("%v", most)
+		t.Errorf("the estimate is %v", most)
 	}
 }
--- a/route/picker.go
+++ b/route/picker.go
@@ -2,12 +2,13 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// scoreTie is how close two totals count as equal: finer differences are
-// noise in lagged reports, and following them would herd the instances.
+// scoreTie is the difference up to which two totals count as equal. Smaller
+// differences are noise in lagging reports, and following them would make all
+// instances select the same server.
 const scoreTie = 0.02
 
-// BestPicker takes the highest total. Among those that tie it chooses by a
-// hash of the request id, so that instances do not all choose the same.
+// BestPicker selects the candidate with the highest total. Among ties it selects by a
+// hash of the request id, so that instances do not all select the same server.
 type BestPicker struct{}
 
 // Name implements Picker.
@@ -19,19 +20,19 @@
 	for _, r := range rated[1:] {
 		best = max(best, r.Total)
 	}
-	chosen, weight := 0, uint64(0)
+	selected, weight := 0, uint64(0)
 	for i, r := range rated {
 		if r.Total < best-scoreTie {
 			continue
 		}
 		if w := pairHash(q.RequestID, r.Name); w >= weight {
-			chosen, weight = i, w
+			selected, weight = i, w
 		}
 	}
-	return chosen
+	return selected
 }
 
-// pairHash mixes two names into one number.
+// pairHash hashes two names into one number.
 func pairHash(a, b string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/route/picker_baseline.go
+++ b/route/picker_baseline.go
@@ -2,9 +2,9 @@
 
 import "sync/atomic"
 
-// The pickers of the baselines that mastwheel is measured against.
+// The pickers of the baselines that mastwheel is compared with.
 
-// RandomPicker takes any candidate.
+// RandomPicker selects a candidate by a hash of the request id.
 type RandomPicker struct{}
 
 // Name implements Picker.
@@ -15,7 +15,7 @@
 	return int(pairHash(q.RequestID, rated[0].Name) % uint64(len(rated)))
 }
 
-// RoundRobinPicker takes candidates in turn.
+// RoundRobinPicker selects candidates in turn.
 type RoundRobinPicker struct{ next atomic.Uint64 }
 
 // Name implements Picker.
@@ -26,8 +26,8 @@
 	return int(p.next.Add(1) % uint64(len(rated)))
 }
 
-// TwoChoicesPicker takes the better of two drawn at random (Mitzenmacher,
-// 2001).
+// TwoChoicesPicker selects the better of two candidates drawn at random
+// (Mitzenmacher, 2001).
 type TwoChoicesPicker struct{}
 
 // Name implements Picker.
@@ -40,7 +40,8 @@
 	if len(rated) == 1 {
 		return one
 	}
-	// Another than the first: of two candidates the better is taken.
+	// The second candidate always differs from the first, so the better of two
+	// candidates is selected.
 	other := (one + 1 + int((hash>>32)%uint64(len(rated)-1))) % len(rated)
 	if rated[other].Total > rated[one].Total {
 		return other
--- a/route/prefix.go
+++ b/route/prefix.go
@@ -2,11 +2,11 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// prefixBlockBytes is the length of prompt that one hash covers more than the
-// one before it; engines use the same blocks.
+// prefixBlockBytes is the length of a prompt block. Each hash covers one block more
+// than the hash before it. Engines use the same blocks.
 const prefixBlockBytes = PrefixBlockTokens * 4
 
-// maxPrefixes bounds the hashes of one prompt.
+// maxPrefixes limits the number of hashes of one prompt.
 const maxPrefixes = 64
 
 // PrefixHashes returns hashes of the prompt's prefixes of one block, two
--- a/route/profiles.go
+++ b/route/profiles.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Weights of the scorers. Waiting dominates, since it decides the first-token
-// target; a zone's distance is a millisecond and only breaks near ties.
+// Weights of the scorers. The wait dominates, since it decides whether the target for
+// the first token is met. The distance between zones is a millisecond and only breaks
+// near ties.
 const (
 	weightWait   = 1.0
 	weightPrefix = 0.5
@@ -14,7 +15,7 @@
 
 var commonFilters = []Filter{ExcludedFilter{}, LeavingFilter{}, BreakerFilter{}}
 
-// PrefillProfile chooses prefill engines.
+// PrefillProfile returns the profile that selects prefill engines.
 func PrefillProfile() *Profile {
 	return &Profile{
 		Filters: commonFilters,
@@ -23,7 +24,7 @@
 	}
 }
 
-// DecodeProfile chooses decode engines.
+// DecodeProfile returns the profile that selects decode engines.
 func DecodeProfile() *Profile {
 	filters := append([]Filter{MemoryFilter{}}, commonFilters...)
 	return &Profile{
@@ -33,7 +34,7 @@
 	}
 }
 
-// PlainProfile chooses servers of plain services.
+// PlainProfile returns the profile that selects servers of plain services.
 func PlainProfile() *Profile {
 	return &Profile{
 		Filters: commonFilters,
@@ -42,7 +43,7 @@
 	}
 }
 
-// Without returns the profile with no filter of that name.
+// Without returns a copy of the profile without the filters of that name.
 func (p *Profile) Without(filter string) *Profile {
 	kept := *p
 	kept.Filters = slices.DeleteFunc(slices.Clone(p.Filters), func(f Filter) bool { return f.Name() == filter })
--- a/route/rate.go
+++ b/route/rate.go
@@ -9,11 +9,11 @@
 // rateSmoothing is the weight of a new measurement.
 const rateSmoothing = 0.1
 
-// Rate is a smoothed speed in tokens a second. The zero value knows nothing
-// yet. Safe for concurrent use; of two measurements at once, one may be lost.
+// Rate is a smoothed speed in tokens per second. The zero value has no measurement.
+// Safe for concurrent use; of two concurrent measurements, one may be lost.
 type Rate struct{ bits atomic.Uint64 }
 
-// Measure takes in that so many tokens took so long.
+// Measure records how long it took to process that many tokens.
 func (r *Rate) Measure(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
@@ -25,7 +25,8 @@
 	r.bits.Store(math.Float64bits(measured))
 }
 
-// Time estimates how long that many tokens take, if anything was measured.
+// Time estimates how long that many tokens take. known is false before the first
+// measurement.
 func (r *Rate) Time(tokens int) (estimate time.Duration, known bool) {
 	rate := r.perSecond()
 	if rate == 0 {
--- a/route/refusal.go
+++ b/route/refusal.go
@@ -5,93 +5,93 @@
 	"time"
 )
 
-// A server that has just refused work will refuse again for a while: it is
-// full, or it is changing its role. Asking it at once costs a round trip, or
-// a prompt read for nothing.
+// A server that has just refused work is full or changes its role, and refuses again
+// for a while. Sending to it at once costs a round trip, or a prompt that is read in
+// vain.
 
 const (
-	// firstShun is how long a server is left alone after one refusal: about
-	// the time in which a full engine ends a request at the peak, twenty a
-	// second over seven engines (source: the users' sheets).
-	firstShun = 50 * time.Millisecond
-	// longestShun bounds the time after many refusals in a row.
-	longestShun = 1600 * time.Millisecond
-	// firstUnreached is how long a server is left alone that could not be
-	// connected to: its process is down, and comes back in seconds if at all.
-	firstUnreached = 200 * time.Millisecond
-	// firstLostHandoff is how long a prefill engine is left alone after one of
-	// its results could not be used: each costs a whole prompt.
-	firstLostHandoff = 200 * time.Millisecond
+	// initialRefusalBackoff is the backoff after one refusal. It is about the time in
+	// which a full engine finishes a request at the peak, twenty a second over seven
+	// engines (source: the users' sheets).
+	initialRefusalBackoff = 50 * time.Millisecond
+	// maxBackoff limits the backoff after many failures in a row.
+	maxBackoff = 1600 * time.Millisecond
+	// initialConnectBackoff is the backoff after a connection could not be opened.
+	// The server's process is down, and restarts within seconds if at all.
+	initialConnectBackoff = 200 * time.Millisecond
+	// initialHandoffBackoff is the backoff after a result of a prefill engine could
+	// not be used. Each such result costs a whole prompt.
+	initialHandoffBackoff = 200 * time.Millisecond
 )
 
-// refusals tracks failures in a row that leave a server alone for a while. Of
-// two at the same time, one may be lost; it is only a hint.
-type refusals struct {
-	inRow atomic.Int64
-	// until is in nanoseconds on the clock of epoch.
+// failureBackoff tracks a server's failures in a row and the backoff that they cause.
+// Of two concurrent failures, one may be lost, since it is only a hint.
+type failureBackoff struct {
+	consecutive atomic.Int64
+	// until is in nanoseconds since epoch.
 	until atomic.Int64
 }
 
-// add notes one more, which counts for first, doubled for each in a row.
-func (r *refusals) add(now time.Time, first time.Duration) {
-	shun := first << min(r.inRow.Add(1)-1, 10)
-	r.until.Store(int64(now.Add(min(shun, longestShun)).Sub(epoch)))
+// fail records one more failure. The backoff is initial, doubled for each further
+// failure in a row.
+func (r *failureBackoff) fail(now time.Time, initial time.Duration) {
+	backoff := initial << min(r.consecutive.Add(1)-1, 10)
+	r.until.Store(int64(now.Add(min(backoff, maxBackoff)).Sub(epoch)))
 }
 
-// end begins the row anew.
-func (r *refusals) end() {
-	if r.inRow.Load() != 0 {
-		r.inRow.Store(0)
+// reset ends the row of failures.
+func (r *failureBackoff) reset() {
+	if r.consecutive.Load() != 0 {
+		r.consecutive.Store(0)
 	}
 }
 
-// active says whether the server is to be left alone.
-func (r *refusals) active(now time.Time) bool { return int64(now.Sub(epoch)) < r.until.Load() }
+// active reports whether the server is in backoff at now.
+func (r *failureBackoff) active(now time.Time) bool { return int64(now.Sub(epoch)) < r.until.Load() }
 
-// Refused notes that the server refused work.
-func (s *Server) Refused(now time.Time) { s.refusals.add(now, firstShun) }
+// Refused records that the server refused work.
+func (s *Server) Refused(now time.Time) { s.refusalBackoff.fail(now, initialRefusalBackoff) }
 
-// Accepted notes that the server took work.
-func (s *Server) Accepted() { s.refusals.end() }
+// Accepted records that the server accepted work.
+func (s *Server) Accepted() { s.refusalBackoff.reset() }
 
-// Unreached notes that no connection to the server could be opened. Five such
-// requests in a row would open the breaker; each is a caller kept waiting or
-// refused.
-func (s *Server) Unreached(now time.Time) { s.unreached.add(now, firstUnreached) }
+// Unreached records that no connection to the server could be opened. Without this
+// backoff it would take five such requests in a row to open the breaker, and each of
+// them keeps a caller waiting or is refused.
+func (s *Server) Unreached(now time.Time) { s.connectBackoff.fail(now, initialConnectBackoff) }
 
-// Reached notes that the server was connected to.
-func (s *Server) Reached() { s.unreached.end() }
+// Reached records that a connection to the server was opened.
+func (s *Server) Reached() { s.connectBackoff.reset() }
 
-// HandoffLost notes that a prefill result of the server could not be used.
-func (s *Server) HandoffLost(now time.Time) { s.handoffs.add(now, firstLostHandoff) }
+// HandoffLost records that a prefill result of the server could not be used.
+func (s *Server) HandoffLost(now time.Time) { s.handoffBackoff.fail(now, initialHandoffBackoff) }
 
-// HandoffDone notes that one was.
-func (s *Server) HandoffDone() { s.handoffs.end() }
+// HandoffDone records that a prefill result of the server was used.
+func (s *Server) HandoffDone() { s.handoffBackoff.reset() }
 
-// misdirectedFor is how long a server is left alone that is not the one, or not
-// in the role, that the list of servers says: the list lags by a second, and the
-// entry of a server that has ended lapses after three of its heartbeats (source:
-// the users' settings, 1.2 s each).
-const misdirectedFor = 3600 * time.Millisecond
+// misdirectedBackoff is the backoff from a server that is not the listed one, or not
+// in its listed role. The list of servers lags by a second, and the entry of a server
+// whose process has exited expires after three of its heartbeats (source: the users'
+// settings, 1.2 s each).
+const misdirectedBackoff = 3600 * time.Millisecond
 
-// Misdirected notes that another server answered in its place, or that it has
-// changed its role.
+// Misdirected records that another server answered in place of this one, or that this
+// one has changed its role.
 func (s *Server) Misdirected(now time.Time) {
-	until := now.Add(misdirectedFor)
+	until := now.Add(misdirectedBackoff)
 	if !s.IsChanging(until) {
 		s.Changing(until)
 	}
 }
 
-// Changing notes that the server changes its role until then, and takes no
-// work before.
-func (s *Server) Changing(until time.Time) { s.changing.Store(int64(until.Sub(epoch))) }
+// Changing records that the server changes its role and accepts no work before until.
+func (s *Server) Changing(until time.Time) { s.changeEnd.Store(int64(until.Sub(epoch))) }
 
-// IsChanging says whether the server is changing its role.
-func (s *Server) IsChanging(now time.Time) bool { return int64(now.Sub(epoch)) < s.changing.Load() }
+// IsChanging reports whether the server is changing its role.
+func (s *Server) IsChanging(now time.Time) bool { return int64(now.Sub(epoch)) < s.changeEnd.Load() }
 
-// RefusingFilter drops servers that have just refused, that could not be reached,
-// whose results could not be used, or that change their role.
+// RefusingFilter drops servers that have just refused work, that could not be
+// reached, whose prefill results could not be used, or that are changing their role.
 type RefusingFilter struct{}
 
 // Name implements Filter.
@@ -100,6 +100,6 @@
 // Keep implements Filter.
 func (RefusingFilter) Keep(q *Query, c Candidate) bool {
 	server := c.Server
-	left := server.refusals.active(q.Now) || server.handoffs.active(q.Now) || server.unreached.active(q.Now)
-	return !left && !server.IsChanging(q.Now)
+	backingOff := server.refusalBackoff.active(q.Now) || server.handoffBackoff.active(q.Now) || server.connectBackoff.active(q.Now)
+	return !backingOff && !server.IsChanging(q.Now)
 }
--- a/route/scorer_free.go
+++ b/route/scorer_free.go
@@ -1,7 +1,7 @@
 package route
 
-// FreeScorer prefers engines with more KV memory left, by what this instance
-// and its siblings have committed there.
+// FreeScorer prefers engines with more free KV memory, by the commitments of this
+// instance and its siblings.
 type FreeScorer struct{}
 
 // Name implements Scorer.
@@ -15,8 +15,8 @@
 	return float64(max(FreeTokens(c), 0)) / float64(c.Backend.MemoryTokens)
 }
 
-// FreeTokens estimates the KV memory of an engine that nobody needs, in
-// tokens; negative when more was promised than there is.
+// FreeTokens estimates an engine's KV memory that no request needs, in tokens. It is
+// negative if more was promised than there is.
 func FreeTokens(c Candidate) int {
 	return c.Backend.MemoryTokens - c.Server.Own().Memory - c.Server.Others().Memory
 }
--- a/route/scorer_idle.go
+++ b/route/scorer_idle.go
@@ -1,6 +1,6 @@
 package route
 
-// IdleScorer prefers servers with fewer requests, for plain services.
+// IdleScorer prefers servers of plain services that have fewer requests.
 type IdleScorer struct{}
 
 // Name implements Scorer.
--- a/route/scorer_prefix.go
+++ b/route/scorer_prefix.go
@@ -1,10 +1,10 @@
 package route
 
-// PrefixBlockTokens is the length of prompt that one prefix hash covers more
-// than the one before it.
+// PrefixBlockTokens is the length of a prompt block. Each prefix hash covers one
+// block more than the hash before it.
 const PrefixBlockTokens = 256
 
-// PrefixScorer prefers engines whose cache holds a longer part of the prompt.
+// PrefixScorer prefers engines that have cached a longer part of the prompt.
 type PrefixScorer struct{}
 
 // Name implements Scorer.
@@ -21,8 +21,8 @@
 // Unread returns how many tokens of the prompt the engine would have to read.
 func (q *Query) Unread(c Candidate) int { return q.PromptTokens - cachedTokens(q, c) }
 
-// cachedTokens returns how many tokens of the prompt the engine has cached,
-// as far as its events have arrived.
+// cachedTokens returns how many tokens of the prompt the engine has cached, according
+// to the cache events received so far.
 func cachedTokens(q *Query, c Candidate) int {
 	for i := len(q.Prefixes) - 1; i >= 0; i-- {
 		if c.Server.Prefixes.Contains(q.Prefixes[i]) {
--- a/route/scorer_reported.go
+++ b/route/scorer_reported.go
@@ -1,7 +1,7 @@
 package route
 
-// ReportedScorer rates a server by its last report alone, as a router does
-// that knows nothing of what it and others have sent since.
+// ReportedScorer scores a server by its last report alone, like a router that does
+// not track what it and others have sent since.
 type ReportedScorer struct{}
 
 // Name implements Scorer.
--- a/route/scorer_room.go
+++ b/route/scorer_room.go
@@ -1,7 +1,8 @@
 package route
 
-// RoomScorer prefers decode engines with more free memory, by the last report
-// less what this instance has sent since.
+// RoomScorer prefers decode engines with more free memory. The free memory is the
+// smaller of two values: the last report, and the engine's pieces less this
+// instance's requests in flight, since the report lags behind what was just sent.
 type RoomScorer struct{}
 
 // Name implements Scorer.
--- a/route/scorer_wait.go
+++ b/route/scorer_wait.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// WaitScorer prefers the prefill engine that will have read the prompt first.
+// WaitScorer prefers the prefill engine that will finish reading the prompt first.
 type WaitScorer struct{}
 
-// waitHalf is the wait at which the score is one half.
-const waitHalf = 250 * time.Millisecond
+// halfScoreWait is the wait at which the score is one half.
+const halfScoreWait = 250 * time.Millisecond
 
 // Name implements Scorer.
 func (WaitScorer) Name() string { return "wait" }
@@ -15,5 +15,5 @@
 func (WaitScorer) Score(q *Query, c Candidate) float64 {
 	unread := q.PromptTokens - cachedTokens(q, c)
 	wait := c.Server.PrefillTime(unread)
-	return float64(waitHalf) / float64(waitHalf+wait)
+	return float64(halfScoreWait) / float64(halfScoreWait+wait)
 }
--- a/route/scorer_zone.go
+++ b/route/scorer_zone.go
@@ -1,7 +1,7 @@
 package route
 
-// ZoneScorer prefers servers in the partner's availability zone, or else in
-// the instance's own.
+// ZoneScorer prefers servers in the partner's availability zone, or in the query's
+// zone if there is no partner. The query's zone is usually the instance's own.
 type ZoneScorer struct{}
 
 // Name implements Scorer.
--- a/route/server.go
+++ b/route/server.go
@@ -1,6 +1,10 @@
-// Package route holds the decisions: which backend server to use, whether to
-// admit, when to retry and when to stop trying a server. Nothing here does I/O
-// or reads a clock; state and time come in, a decision and its reasons go out.
+// Package route makes the routing decisions: which backend server to use, whether to
+// admit a request, when to retry and when to stop sending to a server. Nothing here
+// does I/O or reads a clock. State and time are passed in, and a decision and its
+// reasons are returned.
+//
+// A steward is the instance that grants reservations at a worker, for decode memory
+// or for a turn in a prefill engine's queue.
 package route
 
 import (
@@ -14,58 +18,61 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Report is what a backend server last said about itself.
+// Report is the last status report of a backend server.
 type Report struct {
 	// At is when the report was taken, on this instance's clock.
 	At time.Time
-	// WaitingTokens counts prompt tokens that a prefill engine has not read.
+	// WaitingTokens counts prompt tokens that a prefill engine has not read yet.
 	WaitingTokens int
 	// Running counts requests at the server.
 	Running int
 	// FreePieces counts free memory pieces of a decode engine.
 	FreePieces int
-	// Leaving is set once the server is about to stop.
+	// Leaving is set if the server is about to stop.
 	Leaving bool
 }
 
-// Server is what one instance knows of one backend server. Its fields are
-// atomics: the path of a request reads and writes it without locks.
+// Server is what one instance knows about one backend server. Its fields are atomics,
+// so that the request path reads and writes it without locks.
 type Server struct {
 	Name    string
 	Breaker Breaker
-	// Prefixes guesses at a prefill engine's prefix cache.
+	// Prefixes approximates a prefill engine's prefix cache.
 	Prefixes PrefixCache
-	// Prefills and Transfers are the measured rates of reading prompts and of
-	// receiving KV caches.
+	// Prefills and Transfers are the measured rates at which the server reads prompts
+	// and receives KV caches.
 	Prefills  Rate
 	Transfers Rate
 
 	report atomic.Pointer[Report]
 	// inFlight counts this instance's own requests at the server.
 	inFlight atomic.Int64
-	// ownTokens counts this instance's own prompt tokens there, not yet read.
-	ownTokens atomic.Int64
-	// ownMemory counts the tokens of KV memory that this instance's requests
-	// there hold or will need.
+	// ownUnread counts this instance's own prompt tokens at the server that are not
+	// yet read.
+	ownUnread atomic.Int64
+	// ownMemory counts the tokens of KV memory that this instance's requests at the
+	// server hold or will need.
 	ownMemory atomic.Int64
-	// others is what siblings said last of their own part.
-	others   atomic.Pointer[Commitment]
-	silence  silence
-	refusals refusals
-	handoffs refusals
-	// unreached tracks connections that could not be opened.
-	unreached refusals
-	// changing is until when the server changes its role, on the clock of epoch.
-	changing atomic.Int64
-	// Pressure is what the server says of itself in its answers; nil if that is not known.
+	// others is the commitment that the siblings reported last.
+	others         atomic.Pointer[Commitment]
+	silence        silence
+	refusalBackoff failureBackoff
+	handoffBackoff failureBackoff
+	// connectBackoff tracks connections that could not be opened.
+	connectBackoff failureBackoff
+	// changeEnd is the end of the server's change of role, in nanoseconds since
+	// epoch.
+	changeEnd atomic.Int64
+	// Pressure is what the server reports about itself in its answers; nil if that is
+	// not known.
 	Pressure *backpressure.Server
-	// committed, if set, is called when this instance's part of the server's memory
-	// or unread tokens changes.
-	committed func()
+	// onCommitted, if set, is called when this instance's memory or unread tokens at
+	// the server change.
+	onCommitted func()
 }
 
-// Commitment is one instance's part, or several instances' parts together, of
-// what a backend server has to do.
+// Commitment is the work of one instance, or of several instances together, at a
+// backend server.
 type Commitment struct {
 	// InFlight counts requests.
 	InFlight int
@@ -82,22 +89,22 @@
 	}
 }
 
-// Less returns what is left of a commitment without a part of it.
+// Less returns the commitment without part.
 func (c Commitment) Less(part Commitment) Commitment {
 	return Commitment{InFlight: c.InFlight - part.InFlight, Unread: c.Unread - part.Unread, Memory: c.Memory - part.Memory}
 }
 
-// Own returns this instance's part.
+// Own returns this instance's commitment.
 func (s *Server) Own() Commitment {
 	return Commitment{
-		InFlight: int(s.inFlight.Load()), Unread: int(s.ownTokens.Load()), Memory: int(s.ownMemory.Load()),
+		InFlight: int(s.inFlight.Load()), Unread: int(s.ownUnread.Load()), Memory: int(s.ownMemory.Load()),
 	}
 }
 
-// SetOthers replaces what the siblings have said of their parts.
+// SetOthers replaces the commitment reported by the siblings.
 func (s *Server) SetOthers(others Commitment) { s.others.Store(&others) }
 
-// Others returns what the siblings have said of their parts.
+// Others returns the commitment that the siblings reported.
 func (s *Server) Others() Commitment {
 	if others := s.others.Load(); others != nil {
 		return *others
@@ -105,32 +112,31 @@
 	return Commitment{}
 }
 
-// Hold notes that this instance's requests need that many more tokens of KV
-// memory; fewer, if negative.
+// Hold records that this instance's requests need that many more tokens of KV memory,
+// or fewer if negative.
 func (s *Server) Hold(tokens int) {
 	if tokens == 0 {
 		return
 	}
 	s.ownMemory.Add(int64(tokens))
-	if max(tokens, -tokens) >= tellingTokens {
-		s.changed()
+	if max(tokens, -tokens) >= notifyThresholdTokens {
+		s.notifyChange()
 	}
 }
 
-// tellingTokens is the change of memory that others should hear of at once: streams
-// that grow by an event at a time, 64 tokens, would have them told twenty times a
-// second each.
-const tellingTokens = 500
+// notifyThresholdTokens is the change of memory that siblings are notified of at
+// once. A stream grows by one event of 64 tokens at a time. Without the threshold
+// each stream would cause twenty notifications a second.
+const notifyThresholdTokens = 500
 
-// changed tells that this instance's part of the server's work has changed.
-func (s *Server) changed() {
-	if s.committed != nil {
-		s.committed()
+// notifyChange reports that this instance's commitment at the server has changed.
+func (s *Server) notifyChange() {
+	if s.onCommitted != nil {
+		s.onCommitted()
 	}
 }
 
-// initialTokenRate stands in until the first prefill was measured, in tokens
-// a second.
+// initialTokenRate is used until the first prefill is measured, in tokens per second.
 const initialTokenRate = 10_000
 
 // Observe replaces the server's report.
@@ -142,8 +148,8 @@
 // InFlight returns the number of this instance's own requests at the server.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// Begin notes that this instance has sent a request with that many unread
-// prompt tokens; the returned function notes its end.
+// Begin records that this instance sent a request with that many unread prompt
+// tokens. The returned function records its end.
 func (s *Server) Begin(tokens int) (end func()) {
 	s.inFlight.Add(1)
 	read := s.Unread(tokens)
@@ -153,25 +159,25 @@
 	}
 }
 
-// Unread notes that this instance has sent that many prompt tokens that are not
-// yet read; the returned function notes that they are.
+// Unread records that this instance sent that many prompt tokens that are not yet
+// read. The returned function records that they are.
 func (s *Server) Unread(tokens int) (read func()) {
 	if tokens == 0 {
 		return func() {}
 	}
-	s.ownTokens.Add(int64(tokens))
-	s.changed()
+	s.ownUnread.Add(int64(tokens))
+	s.notifyChange()
 	return func() {
-		s.ownTokens.Add(-int64(tokens))
-		s.changed()
+		s.ownUnread.Add(-int64(tokens))
+		s.notifyChange()
 	}
 }
 
-// WaitingTokens returns the larger of the reported unread tokens and those
-// that this instance and its siblings know of: the report lags behind what was
-// just sent, and what was sent may say nothing of some siblings.
+// WaitingTokens returns the larger of the reported unread tokens and the tokens that
+// this instance and its siblings know of. The report lags behind what was just sent,
+// and the known tokens may lack those of some siblings.
 func (s *Server) WaitingTokens() int {
-	own := int(s.ownTokens.Load()) + s.Others().Unread
+	own := int(s.ownUnread.Load()) + s.Others().Unread
 	report := s.report.Load()
 	if report == nil || report.WaitingTokens < own {
 		return own
@@ -180,12 +186,12 @@
 }
 
 // PrefillTime estimates the time until a prompt of that many tokens is read,
-// the wait behind others included.
+// including the wait for the prompts ahead of it.
 func (s *Server) PrefillTime(tokens int) time.Duration {
 	return s.ReadTime(s.WaitingTokens() + tokens)
 }
 
-// ReadTime estimates how long a prefill engine takes to read so many tokens.
+// ReadTime estimates how long a prefill engine takes to read that many tokens.
 func (s *Server) ReadTime(tokens int) time.Duration {
 	if estimate, known := s.Prefills.Time(tokens); known {
 		return estimate
@@ -193,7 +199,7 @@
 	return time.Duration(tokens) * time.Second / initialTokenRate
 }
 
-// ReadTokens estimates how many tokens a prefill engine reads in a time.
+// ReadTokens estimates how many tokens a prefill engine reads in a duration.
 func (s *Server) ReadTokens(in time.Duration) int {
 	rate := s.Prefills.perSecond()
 	if rate == 0 {
@@ -202,18 +208,18 @@
 	return int(rate * in.Seconds())
 }
 
-// ServerID is a short stand-in for a backend server's name in messages
-// between siblings. Two servers of a cell hardly ever share one, and if they
-// do, only their scores are mixed up.
+// ServerID returns a short hash of a backend server's name for messages between
+// siblings. Two servers of a cell hardly ever share an id, and if they do, only their
+// scores are mixed up.
 func ServerID(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// Fleet finds the Server of each backend server. Readers load one immutable
-// index; Adopt swaps it when the table changes.
+// Fleet holds the Server of each backend server. Readers load one immutable index.
+// Adopt swaps it when the table changes.
 type Fleet struct {
 	index atomic.Pointer[fleetIndex]
-	// committed is told of changes of this instance's commitments.
-	committed func()
-	// Backpressure is what servers say of themselves in their answers.
+	// onCommitted is called when this instance's commitments change.
+	onCommitted func()
+	// Backpressure tracks what servers report about themselves in their answers.
 	Backpressure *backpressure.Tracker
 }
 
@@ -229,21 +235,20 @@
 	return f
 }
 
-// OnCommitted has a function called, on the path of requests, whenever this
-// instance's part of some server's memory or unread tokens changes. It must be set
-// before servers are adopted.
-func (f *Fleet) OnCommitted(told func()) { f.committed = told }
+// OnCommitted sets a function that is called, on the request path, whenever this
+// instance's memory or unread tokens at some server change. It must be set before
+// servers are adopted.
+func (f *Fleet) OnCommitted(notify func()) { f.onCommitted = notify }
 
-// Server returns the state of a backend server, or nil when the table has no
-// such row.
+// Server returns the state of a backend server, or nil if the table has no such row.
 func (f *Fleet) Server(name string) *Server { return f.index.Load().byName[name] }
 
 // ServerByID returns the state of the backend server with that ServerID, or
 // nil.
 func (f *Fleet) ServerByID(id uint32) *Server { return f.index.Load().byID[id] }
 
-// Forgive forgets failures, silence and refusals of all servers: after this
-// instance itself stood still, they say more of it than of them.
+// Forgive clears failures, silence and refusals of all servers. After this instance
+// itself was suspended, they are caused by the suspension rather than by the servers.
 func (f *Fleet) Forgive(now time.Time) {
 	for _, server := range f.index.Load().byName {
 		server.Breaker.Success()
@@ -253,8 +258,8 @@
 	}
 }
 
-// Adopt makes the fleet match the table's backend servers. Servers that stay
-// keep their state. Only one goroutine may call it.
+// Adopt makes the fleet match the table's backend servers. Servers that remain keep
+// their state. Only one goroutine may call it.
 func (f *Fleet) Adopt(view *table.View) {
 	old := f.index.Load().byName
 	next := &fleetIndex{
@@ -264,7 +269,7 @@
 	for name := range view.Backends {
 		server, stays := old[name]
 		if !stays {
-			server = &Server{Name: name, committed: f.committed, Pressure: f.Backpressure.Server(name)}
+			server = &Server{Name: name, onCommitted: f.onCommitted, Pressure: f.Backpressure.Server(name)}
 		}
 		next.byName[name] = server
 		next.byID[ServerID(name)] = server
--- a/route/sharedbudget.go
+++ b/route/sharedbudget.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// SharedBudget is one instance's share of a retry budget that all instances
-// spend from: in any window, a ratio of the first attempts and an allowance on
-// top. Half of the instance's part of the allowance can be saved up, and half
-// comes back over a window; so no window sees more than the whole part. Call
-// NewSharedBudget.
+// SharedBudget is one instance's share of a retry budget that all instances spend
+// from: in any window, a ratio of the first attempts plus a fixed allowance. Half of
+// the instance's share of the allowance can be saved up, and half is refilled over a
+// window, so no window sees more than the whole share. Use NewSharedBudget to create
+// one.
 type SharedBudget struct {
-	mu     sync.Mutex
-	ratio  float64
-	window time.Duration
-	part   float64
-	credit float64
-	// filled is up to when the allowance was added.
-	filled time.Time
+	mu        sync.Mutex
+	ratio     float64
+	window    time.Duration
+	allowance float64
+	credit    float64
+	// filledAt is the time up to which the allowance was added.
+	filledAt time.Time
 }
 
-// NewSharedBudget returns a budget that earns ratio retries for each first
-// attempt and part retries in each window.
-func NewSharedBudget(ratio float64, window time.Duration, part float64, now time.Time) *SharedBudget {
-	return &SharedBudget{ratio: ratio, window: window, part: part, credit: part / 2, filled: now}
+// NewSharedBudget returns a budget that earns ratio retries for each first attempt
+// and allowance retries in each window.
+func NewSharedBudget(ratio float64, window time.Duration, allowance float64, now time.Time) *SharedBudget {
+	return &SharedBudget{ratio: ratio, window: window, allowance: allowance, credit: allowance / 2, filledAt: now}
 }
 
-// SetPart changes the part of the allowance, as instances come and go. Credit
-// beyond a smaller part is lost; a larger one fills with time, since another
-// instance may have spent it in the same window.
-func (b *SharedBudget) SetPart(part float64, now time.Time) {
+// SetPart changes the instance's share of the allowance when instances come and go.
+// Credit beyond a smaller share is lost. A larger share is filled over time, since
+// another instance may have spent it in the same window.
+func (b *SharedBudget) SetPart(allowance float64, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now)
-	b.part = part
-	b.credit = min(b.credit, part/2)
+	b.refill(now)
+	b.allowance = allowance
+	b.credit = min(b.credit, allowance/2)
 }
 
-// Earn notes a first attempt.
+// Earn adds the credit for one first attempt.
 func (b *SharedBudget) Earn(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now)
-	b.credit = min(b.credit+b.ratio, max(b.part/2, 1))
+	b.refill(now)
+	b.credit = min(b.credit+b.ratio, max(b.allowance/2, 1))
 }
 
-// Spend takes one retry, or returns false when there is none.
+// Spend takes one retry, or returns false if there is none.
 func (b *SharedBudget) Spend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now)
+	b.refill(now)
 	if b.credit < 1 {
 		return false
 	}
@@ -57,21 +57,21 @@
 	return true
 }
 
-// Left returns the retries that are left.
+// Left returns the number of retries that are left.
 func (b *SharedBudget) Left(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now)
+	b.refill(now)
 	return b.credit
 }
 
-// fill adds the allowance of the time that has passed.
-func (b *SharedBudget) fill(now time.Time) {
-	passed := now.Sub(b.filled)
+// refill adds the allowance for the time that has passed.
+func (b *SharedBudget) refill(now time.Time) {
+	passed := now.Sub(b.filledAt)
 	if passed <= 0 {
 		return
 	}
-	b.filled = now
-	added := b.part / 2 * float64(passed) / float64(b.window)
-	b.credit = max(b.credit, min(b.credit+added, b.part/2))
+	b.filledAt = now
+	added := b.allowance / 2 * float64(passed) / float64(b.window)
+	b.credit = max(b.credit, min(b.credit+added, b.allowance/2))
 }
--- a/route/silence.go
+++ b/route/silence.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// A server that was cut off or has lost its power answers nothing and refuses
-// nothing. What shows it is that requests wait there and nobody is answered.
+// A server that is cut off from the network or has lost power neither answers nor
+// refuses. It is detected by requests that wait there while none is answered.
 
-// silence tracks since when a server with waiting requests has said nothing.
+// silence tracks since when a server with waiting requests has sent nothing.
 type silence struct {
 	waiting atomic.Int64
-	// since is in nanoseconds on the clock of epoch; meaningless when nothing
-	// waits.
+	// since is in nanoseconds since epoch. It has no meaning while no request waits.
 	since atomic.Int64
 }
 
-// epoch anchors a monotonic clock that fits into an atomic.
+// epoch is the origin of a monotonic clock that fits into an atomic.
 var epoch = time.Now()
 
-// Await notes that an answer is awaited from now on; the returned function
-// notes that it no longer is.
+// Await records that an answer is awaited from now on. The returned function records
+// that it no longer is.
 func (s *Server) Await(now time.Time) (end func()) {
 	if s.silence.waiting.Add(1) == 1 {
 		s.silence.since.Store(int64(now.Sub(epoch)))
@@ -28,11 +27,11 @@
 	return func() { s.silence.waiting.Add(-1) }
 }
 
-// Heard notes a sign of life.
+// Heard records that something was received from the server.
 func (s *Server) Heard(now time.Time) { s.silence.since.Store(int64(now.Sub(epoch))) }
 
-// SilentFor returns for how long the server has left everybody waiting; 0 when
-// nobody waits.
+// SilentFor returns how long the server has sent nothing while requests wait; 0 if
+// none waits.
 func (s *Server) SilentFor(now time.Time) time.Duration {
 	if s.silence.waiting.Load() == 0 {
 		return 0
@@ -40,10 +39,11 @@
 	return now.Sub(epoch) - time.Duration(s.silence.since.Load())
 }
 
-// SilentFilter drops servers that have left everybody waiting for long.
+// SilentFilter drops servers that have sent nothing for longer than Limit while
+// requests wait.
 type SilentFilter struct {
-	// Limit is the silence that is still ordinary: longer than the usual
-	// answer of a busy server.
+	// Limit is the longest normal silence. It is longer than a busy server usually
+	// takes to answer.
 	Limit time.Duration
 }
 
--- a/route/sizes_test.go
+++ b/route/sizes_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-func TestWhatStaysFreeFollowsHowFarLengthsAreOff(t *testing.T) {
+func TestSpareGrowsWithLengthErrors(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
-	play := func(prompt, generated int) float64 {
+	spareAfter := func(prompt, generated int) float64 {
 		var sizes Sizes
 		for range 400 {
 			sizes.Asked(prompt+generated/2, generated)
@@ -16,19 +16,19 @@
 		}
 		return sizes.Spare(40_000)
 	}
-	short, long := play(3200, 640), play(3200, 3200)
+	short, long := spareAfter(3200, 640), spareAfter(3200, 3200)
 	if short < 0.02 || short > 0.08 || long < 3*short {
 		t.Errorf("%.3f of the memory stays free for short answers, %.3f for long ones", short, long)
 	}
 }
 
-func TestBeforeAnythingEndedGuessesCountAsOffByTheirUsualError(t *testing.T) {
+func TestSpareUsesGuessErrorBeforeEnoughEnded(t *testing.T) {
 	var sizes Sizes
 	if got := sizes.Spare(40_000); got != 0 {
 		t.Errorf("%.3f stays free before any request", got)
 	}
 	sizes.Asked(4000, 1000)
-	// 1.645 deviations of 500 tokens each, of ten requests.
+	// 1.645 standard deviations of 500 tokens for each of ten requests.
 	if got, want := sizes.Spare(40_000), 1.645*500*math.Sqrt(10)/40_000; math.Abs(got-want) > 1e-9 {
 		t.Errorf("%.4f stays free, want %.4f", got, want)
 	}
@@ -36,15 +36,15 @@
 
 func TestOldSizesAreForgotten(t *testing.T) {
 	var sizes Sizes
-	for range 10 * sizesRemembered {
+	for range 10 * sizesWindow {
 		sizes.Asked(1000, 100)
 		sizes.Ended(100, 100)
 	}
-	for range 5 * sizesRemembered {
+	for range 5 * sizesWindow {
 		sizes.Asked(5000, 100)
 	}
 	if need := sizes.Need(); need < 4900 {
-		t.Errorf("a request is said to need %.0f tokens", need)
+		t.Errorf("the mean need is %.0f tokens", need)
 	}
 	if spare := sizes.Spare(40_000); spare != 0 {
 		t.Errorf("%.3f stays free where lengths are known exactly", spare)
--- a/route/steward.go
+++ b/route/steward.go
@@ -7,35 +7,36 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// HoldKey names what one attempt of a request holds.
+// HoldKey identifies the reservation of one attempt of a request.
 type HoldKey struct {
 	RequestID string `json:"request_id"`
 	Attempt   int    `json:"attempt"`
 }
 
-// Ask is a request for a place at a worker: for decode memory, or for a turn
-// at a prefill engine.
+// Ask requests a reservation at a worker: for decode memory, or for a turn in a
+// prefill engine's queue.
 type Ask struct {
 	HoldKey
-	// Pieces is the memory that a decode engine is asked for; 0 at a prefill
-	// engine.
+	// Pieces is the memory requested from a decode engine; 0 for a prefill engine.
 	Pieces int
-	// LandIn is when the KV cache is expected to arrive, and HoldFor how long
-	// the memory is then expected to be held.
+	// LandIn is the time until the KV cache is expected to arrive. HoldFor is how
+	// long the memory is then expected to be held.
 	LandIn  time.Duration
 	HoldFor time.Duration
-	// Headroom is the memory, in pieces, that must stay free: requests that
-	// should yield to others ask with more of it.
+	// Headroom is the memory, in pieces, that must stay free. Requests that should
+	// yield to others set more of it.
 	Headroom int
-	// Tokens is what a prefill engine is asked to read; 0 at a decode engine.
+	// Tokens is the number of tokens that a prefill engine is to read; 0 for a decode
+	// engine.
 	Tokens int
-	// MostAhead is how many tokens may be ahead in the prefill engine's queue.
+	// MostAhead is the maximum number of tokens ahead in the prefill engine's queue.
 	MostAhead int
-	// TTL is how long the promise stands unless it is renewed or lands.
+	// TTL is how long the reservation lasts unless it is renewed or the KV cache
+	// arrives.
 	TTL time.Duration
 }
 
-// Grant answers an Ask. Refused is reason.None when the place is promised.
+// Grant answers an Ask. Refused is reason.None if the reservation is granted.
 type Grant struct {
 	Refused reason.Reason
 	// Free is the memory left, in pieces.
@@ -44,9 +45,9 @@
 	Ahead int
 }
 
-// EngineReport is what an engine says it holds.
+// EngineReport is what an engine reports that it holds.
 type EngineReport struct {
-	// TakenAt is when the steward asked: whatever happened later is not in it.
+	// TakenAt is when the steward requested the report. Later events are not in it.
 	TakenAt time.Time
 	Pieces  int
 	// WaitingTokens counts prompt tokens that the engine has not read.
@@ -54,23 +55,23 @@
 	Held          map[HoldKey]int
 }
 
-// Steward promises places at the workers that one instance looks after. It is
-// soft state: a new steward starts from the engine's own report, and the
-// engine has the last word. Safe for concurrent use.
+// Steward grants reservations at the workers that one instance is responsible for.
+// Its state is soft: a new steward starts from the engine's own report, and the
+// engine makes the final decision. Safe for concurrent use.
 type Steward struct {
 	mu      sync.Mutex
 	workers map[string]*workerLedger
 }
 
-// hold is a place promised to an attempt.
+// hold is the reservation of an attempt.
 type hold struct {
 	pieces  int
 	tokens  int
 	expires time.Time
-	// until is when the memory is expected to be free again.
-	until time.Time
-	// released is set when the home gave it back; the engine's report may
-	// still show it if taken earlier.
+	// freeAt is when the memory is expected to be free again.
+	freeAt time.Time
+	// released is when the home released the reservation. The engine's report may
+	// still show it if it was taken earlier.
 	released time.Time
 }
 
@@ -82,7 +83,7 @@
 // NewSteward returns a steward with no workers.
 func NewSteward() *Steward { return &Steward{workers: make(map[string]*workerLedger)} }
 
-// Observe takes an engine's report.
+// Observe applies an engine's report.
 func (s *Steward) Observe(worker string, report EngineReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +98,7 @@
 	}
 }
 
-// Reserve promises a place to an attempt, or renews what it already has.
+// Reserve grants a reservation to an attempt, or renews the one that it already has.
 func (s *Steward) Reserve(worker string, ask Ask, now time.Time) Grant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,8 +111,8 @@
 		ledger.holds[ask.HoldKey] = h
 		return Grant{Free: ledger.free(now), Ahead: ledger.ahead(now) - h.tokens}
 	}
-	landing := now.Add(ask.LandIn)
-	grant := Grant{Free: ledger.free(landing), Ahead: ledger.ahead(now)}
+	arrival := now.Add(ask.LandIn)
+	grant := Grant{Free: ledger.free(arrival), Ahead: ledger.ahead(now)}
 	if grant.Free < ask.Pieces+ask.Headroom {
 		grant.Refused = reason.ReserveRefused
 		return grant
@@ -121,13 +122,14 @@
 		return grant
 	}
 	ledger.holds[ask.HoldKey] = hold{
-		pieces: ask.Pieces, tokens: ask.Tokens, expires: now.Add(ask.TTL), until: landing.Add(ask.HoldFor),
+		pieces: ask.Pieces, tokens: ask.Tokens, expires: now.Add(ask.TTL), freeAt: arrival.Add(ask.HoldFor),
 	}
 	grant.Free -= ask.Pieces
 	return grant
 }
 
-// Release gives back what an attempt holds, landed or not.
+// Release releases the reservation of an attempt, whether its KV cache has arrived or
+// not.
 func (s *Steward) Release(worker string, key HoldKey, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,14 +139,14 @@
 	ledger.holds[key] = h
 }
 
-// Ahead returns the tokens in a prefill engine's queue, promises included.
+// Ahead returns the tokens in a prefill engine's queue, including reservations.
 func (s *Steward) Ahead(worker string, now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger(worker).ahead(now)
 }
 
-// Retain forgets every worker that keep does not name.
+// Retain removes every worker for which keep returns false.
 func (s *Steward) Retain(keep func(worker string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,20 +166,20 @@
 	return ledger
 }
 
-// untilSlack is how much later than expected memory may become free without
-// having been promised to somebody else.
-const untilSlack = 50 * time.Millisecond
+// freeAtSlack is how much later than expected memory may become free without having
+// been promised to another attempt.
+const freeAtSlack = 50 * time.Millisecond
 
-// free counts the pieces that are expected to be free at a moment: neither
-// reported as held nor promised beyond it. What overstays its time counts as
+// free counts the pieces that are expected to be free at a moment: neither reported
+// as held nor promised beyond it. Memory that is held longer than expected counts as
 // held for as long as it is reported.
 func (l *workerLedger) free(at time.Time) int {
 	used := 0
 	for key, pieces := range l.report.Held {
 		h, known := l.holds[key]
-		ends := known && !h.until.IsZero() && h.until.Add(untilSlack).Before(at) && at.After(l.report.TakenAt) &&
-			h.until.After(l.report.TakenAt)
-		if h.released.IsZero() && !ends {
+		freed := known && !h.freeAt.IsZero() && h.freeAt.Add(freeAtSlack).Before(at) && at.After(l.report.TakenAt) &&
+			h.freeAt.After(l.report.TakenAt)
+		if h.released.IsZero() && !freed {
 			used += pieces
 		}
 	}
@@ -185,15 +187,16 @@
 		if _, landed := l.report.Held[key]; landed {
 			continue
 		}
-		if h.released.IsZero() && h.expires.After(l.report.TakenAt) && !h.until.Add(untilSlack).Before(at) {
+		if h.released.IsZero() && h.expires.After(l.report.TakenAt) && !h.freeAt.Add(freeAtSlack).Before(at) {
 			used += h.pieces
 		}
 	}
 	return l.report.Pieces - used
 }
 
-// ahead counts the tokens promised a turn and not yet read. What the engine
-// reports beyond that was promised by an earlier steward, or by nobody.
+// ahead counts the tokens that are promised a turn and not yet read. Tokens that the
+// engine reports beyond them were promised by an earlier steward, or by none. They
+// count only while nothing is promised.
 func (l *workerLedger) ahead(now time.Time) int {
 	promised := 0
 	for _, h := range l.holds {
--- a/route/yield.go
+++ b/route/yield.go
@@ -1,16 +1,17 @@
 package route
 
-// Where memory is scarce, who may take the last of it is decided by trunk reservation
-// (Key, 1990), between the teams of a service as between the priorities of Headroom: a
-// request of a team that has used up what it may leaves more of an engine free than one of
-// a team that has asked for little. With room to spare nobody notices. Beside a team that
-// asks for five times as much, half as much again as engines can hold, 0.904 of the streams
-// of a quiet one are in time, 0.642 where none yields; of all 0.679 and 0.651
-// (TestAQuietTeamFindsRoomBesideAHotOne).
+// When memory is nearly full, trunk reservation (Key, 1990) decides which requests
+// get the rest, between the teams of a service as between the priorities of Headroom:
+// a request of a team that has used up its allotment leaves more of an engine free
+// than one of a team that has used little. With enough free memory it has no effect.
+// When requests come to half as much again as engines can hold, 0.904 of the streams
+// of a team with little traffic are in time beside a team that sends five times as
+// much, against 0.642 without this rule. Of all streams the fractions are 0.679 and
+// 0.651 (see the tests of teams in package forward).
 
-// Yield returns what a request leaves free, as a multiple of what any must. used is the
-// part of its team's allotment that is used up, from 0 to 1; weight is what that adds at
-// the most.
+// Yield returns the factor by which a request multiplies its headroom. used is the
+// fraction of its team's allotment that is used up, from 0 to 1. weight is the most
+// that this adds to the factor.
 func Yield(used, weight float64) float64 {
 	return 1 + weight*min(max(used, 0), 1)
 }
