--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,21 +1,22 @@
-// Package lease decides who may give orders to engines. A lease is a chain of
-// claims on the platform's log: each names the claim that it follows, and the
-// first of two that follow the same one counts, by the same rule at every
-// instance. The offset of a claim is its fencing token. Nothing here does I/O
-// or reads a clock.
+// Package lease decides which instance may give orders to engines. A lease is a chain
+// of claims on the platform's log. Each claim names the claim that it follows. The
+// first of two claims that follow the same one counts, by the same rule at every
+// instance. The offset of a claim is its fencing token. Nothing here does I/O or
+// reads a clock.
 package lease
 
 import "time"
 
-// Claim is a record on the log by which its holder takes or renews a lease.
+// Claim is a log record by which its holder takes or renews a lease.
 type Claim struct {
 	Key string `json:"key"`
 	// Holder is the claiming instance with its incarnation.
 	Holder string `json:"holder"`
 	// After is the token of the claim that this one follows; 0 for the first.
 	After uint64 `json:"after"`
-	// Serial tells the holder's claims apart: what counts may be an earlier one
-	// than the last that it sent, and its time runs from that.
+	// Serial distinguishes the holder's claims. The claim that counts may be an
+	// earlier one than the last that the holder sent, and the TTL runs from the claim
+	// that counts.
 	Serial uint64 `json:"serial"`
 }
 
@@ -25,9 +26,9 @@
 	// Token is the offset of the claim.
 	Token  uint64 `json:"token"`
 	Serial uint64 `json:"serial"`
-	// Era is the era of the store in which the state was read; 0 where there is one only.
-	// A store that has come back from an older copy may have lost the claim that counts:
-	// its holder still goes by it for a while.
+	// Era is the era of the store in which the state was read; 0 if the store has
+	// only one. A store that was restored from an older copy may have lost the claim
+	// that counts, and the holder of that claim still relies on it for a while.
 	Era uint64 `json:"era,omitempty"`
 }
 
@@ -40,117 +41,121 @@
 	return State{Holder: claim.Holder, Token: offset, Serial: claim.Serial}, true
 }
 
-// Config sets the times of a lease.
+// Config sets the durations of a lease.
 type Config struct {
-	// TTL is how long a claim lasts from the moment it was sent. Shorter hands
-	// over sooner after a death; longer costs fewer appends and survives a
-	// longer outage of the log.
+	// TTL is how long a claim lasts from the moment it was sent. A shorter TTL hands
+	// over sooner after a holder dies. A longer TTL costs fewer appends and survives
+	// a longer outage of the log.
 	TTL time.Duration
 	// RenewEvery is how often a holder renews. It must leave time for a slow
 	// append before TTL ends.
 	RenewEvery time.Duration
-	// Margin is how much before its end a holder stops, and how much after it
-	// a challenger begins: for clocks that run at different speeds, and for an
-	// order that is under way.
+	// Margin is how long before the end of its claim a holder stops, and how long
+	// after it a challenger begins. It allows for clocks that run at different
+	// speeds, and for an order that is in flight.
 	Margin time.Duration
-	// Courtesy is how much longer all but the first in line wait to challenge.
+	// Courtesy is how much longer all candidates but the first in line wait before
+	// they challenge.
 	Courtesy time.Duration
 }
 
-// DefaultConfig costs one append every eight seconds a lease.
+// DefaultConfig returns a configuration that costs one append every eight seconds per
+// lease.
 func DefaultConfig() Config {
 	return Config{TTL: 20 * time.Second, RenewEvery: 8 * time.Second, Margin: 3 * time.Second, Courtesy: 5 * time.Second}
 }
 
-// Candidate is one instance's part in one lease.
+// Candidate is one instance's participation in one lease.
 type Candidate struct {
 	config Config
 	key    string
 	self   string
 
-	// state is the lease as last seen on the log, and seen when that was.
-	state State
-	seen  time.Time
-	// sent is when each claim that has not been seen yet was sent, by serial,
-	// and last when the last was; zero with none.
-	sent   map[uint64]sentClaim
-	last   time.Time
-	serial uint64
-	// until is when this instance, as the holder, must have stopped.
-	until time.Time
-	// renewed is when the claim that made it holder was sent; zero if it is none.
-	renewed time.Time
+	// state is the lease as last read from the log, and changedAt is when that state
+	// was first read.
+	state     State
+	changedAt time.Time
+	// pending holds the claims that were sent and not yet read back, by serial.
+	// lastSent is when the last of them was sent; zero if there is none.
+	pending  map[uint64]pendingClaim
+	lastSent time.Time
+	serial   uint64
+	// validUntil is when this instance, as the holder, must have stopped.
+	validUntil time.Time
+	// claimSent is when the claim that made this instance the holder was sent; zero
+	// if it is not the holder.
+	claimSent time.Time
 }
 
-// sentClaim is a claim that has not been seen yet.
-type sentClaim struct {
+// pendingClaim is a claim that was sent and not yet read back.
+type pendingClaim struct {
 	at time.Time
-	// era is that of the state which it follows. In a later one it may have been carried
-	// out beside the claim of another holder that was lost.
+	// era is the era of the state that the claim follows. In a later era the claim
+	// may have been appended beside a claim of another holder that was lost.
 	era uint64
 }
 
-// NewCandidate returns the part of an instance in a lease, begun at now: a
-// claim that it has not seen may be that young.
+// NewCandidate returns the participation of an instance in a lease. It begins at now,
+// so a claim that the instance has not read yet may be as young as that.
 func NewCandidate(config Config, key, self string, now time.Time) *Candidate {
-	return &Candidate{config: config, key: key, self: self, seen: now, sent: make(map[uint64]sentClaim)}
+	return &Candidate{config: config, key: key, self: self, changedAt: now, pending: make(map[uint64]pendingClaim)}
 }
 
-// Observe takes in the lease's state as folded from the log.
+// Observe applies the lease's state as folded from the log.
 func (c *Candidate) Observe(state State, now time.Time) {
 	if state == c.state {
 		return
 	}
-	c.state, c.seen = state, now
-	c.until, c.renewed = time.Time{}, time.Time{}
-	if sent, mine := c.sent[state.Serial]; mine && state.Holder == c.self && sent.era == state.Era {
-		c.renewed = sent.at
-		c.until = sent.at.Add(c.config.TTL - c.config.Margin)
+	c.state, c.changedAt = state, now
+	c.validUntil, c.claimSent = time.Time{}, time.Time{}
+	if sent, mine := c.pending[state.Serial]; mine && state.Holder == c.self && sent.era == state.Era {
+		c.claimSent = sent.at
+		c.validUntil = sent.at.Add(c.config.TTL - c.config.Margin)
 	}
-	// Whatever else is under way follows a claim that is no longer the last.
-	clear(c.sent)
-	c.last = time.Time{}
+	// All other pending claims follow a claim that is no longer the last.
+	clear(c.pending)
+	c.lastSent = time.Time{}
 }
 
-// Valid says whether this instance may give orders at now, and with which
-// token.
+// Valid returns the fencing token, and whether this instance may give orders at now.
 func (c *Candidate) Valid(now time.Time) (token uint64, ok bool) {
-	return c.state.Token, c.state.Holder == c.self && now.Before(c.until)
+	return c.state.Token, c.state.Holder == c.self && now.Before(c.validUntil)
 }
 
-// Until is when an order must have been sent by the holder.
-func (c *Candidate) Until() time.Time { return c.until }
+// Until returns the time by which the holder must have sent an order.
+func (c *Candidate) Until() time.Time { return c.validUntil }
 
-// Next returns the claim to send at now, if there is one. first says whether
-// this instance is the first in line to challenge.
+// Next returns the claim to send at now, if one is due. first is set if this instance
+// is the first in line to challenge.
 func (c *Candidate) Next(now time.Time, first bool) (Claim, bool) {
-	if !c.last.IsZero() && now.Sub(c.last) < c.config.RenewEvery {
+	if !c.lastSent.IsZero() && now.Sub(c.lastSent) < c.config.RenewEvery {
 		return Claim{}, false
 	}
 	if !c.due(now, first) {
 		return Claim{}, false
 	}
-	c.last = now
+	c.lastSent = now
 	c.serial++
-	c.sent[c.serial] = sentClaim{at: now, era: c.state.Era}
+	c.pending[c.serial] = pendingClaim{at: now, era: c.state.Era}
 	return Claim{Key: c.key, Holder: c.self, After: c.state.Token, Serial: c.serial}, true
 }
 
 func (c *Candidate) due(now time.Time, first bool) bool {
-	// A holder renews at once. One that finds a claim of its own again in a later era does
-	// not: another's that came after it may be lost, and its holder goes by it.
-	if c.state.Holder == c.self && !c.renewed.IsZero() {
-		return now.Sub(c.renewed) >= c.config.RenewEvery
+	// A holder renews without waiting for expiry. An instance that finds its own
+	// claim again in a later era does not: a later claim of another holder may be
+	// lost, and that holder still relies on it.
+	if c.state.Holder == c.self && !c.claimSent.IsZero() {
+		return now.Sub(c.claimSent) >= c.config.RenewEvery
 	}
-	// Where the store has eras it may have lost a claim, also before this instance
-	// started: that there is none says nothing then, and it is waited out as one that
-	// was just made. That costs TTL and Margin once, before the first claim of all.
+	// A store with eras may have lost a claim, even before this instance started. An
+	// empty state proves nothing then, so the instance waits as if a claim was just
+	// made. That costs TTL and Margin once, before the first claim of all.
 	if c.state.Token == 0 && c.state.Era == 0 && first {
 		return true
 	}
-	patience := c.config.TTL + c.config.Margin
+	wait := c.config.TTL + c.config.Margin
 	if !first {
-		patience += c.config.Courtesy
+		wait += c.config.Courtesy
 	}
-	return now.Sub(c.seen) >= patience
+	return now.Sub(c.changedAt) >= wait
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -7,31 +7,31 @@
 	"pgregory.net/rapid"
 )
 
-// chain is a log with one lease and some candidates. Claims take a while to
-// arrive, are seen late, and candidates freeze.
-type chain struct {
+// simulation is a log with one lease and some candidates. Claims arrive late,
+// candidates read the log late, and candidates freeze.
+type simulation struct {
 	state  State
 	offset uint64
-	// inFlight are claims under way, each with the moment of its arrival.
-	inFlight []flight
-	// views are the states as each candidate sees them, late.
-	candidates []*Candidate
-	frozen     []time.Time
-	lag        []time.Duration
-	history    []moment
+	// inFlight are the claims that were sent, each with the time of its arrival.
+	inFlight []delayedClaim
+	// candidates read the state late, each by its lag.
+	candidates  []*Candidate
+	frozenUntil []time.Time
+	lag         []time.Duration
+	history     []timedState
 }
 
-type flight struct {
+type delayedClaim struct {
 	claim  Claim
 	arrive time.Time
 }
 
-type moment struct {
+type timedState struct {
 	at    time.Time
 	state State
 }
 
-func (c *chain) stateAt(at time.Time) State {
+func (c *simulation) stateAt(at time.Time) State {
 	state := State{}
 	for _, m := range c.history {
 		if !m.at.After(at) {
@@ -41,37 +41,37 @@
 	return state
 }
 
-// Never are two candidates valid at once, however claims are delayed, seen
-// late, lost, or their senders frozen.
+// No two candidates are valid at once, even if claims are delayed, read late or lost,
+// or their senders freeze.
 func TestNoSecondHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
 		count := rapid.IntRange(2, 4).Draw(t, "candidates")
-		c := &chain{frozen: make([]time.Time, count), lag: make([]time.Duration, count)}
+		c := &simulation{frozenUntil: make([]time.Time, count), lag: make([]time.Duration, count)}
 		for i := range count {
 			c.candidates = append(c.candidates, NewCandidate(DefaultConfig(), "orders", string(rune('a'+i)), start))
 			c.lag[i] = time.Duration(rapid.IntRange(0, 4000).Draw(t, "lag")) * time.Millisecond
 		}
 		for step := range 400 {
 			now := start.Add(time.Duration(step) * 500 * time.Millisecond)
-			c.land(now)
+			c.deliver(now)
 			valid := 0
 			for i, candidate := range c.candidates {
 				if _, ok := candidate.Valid(now); ok {
 					valid++
 				}
-				if now.Before(c.frozen[i]) {
+				if now.Before(c.frozenUntil[i]) {
 					continue
 				}
 				if rapid.IntRange(0, 60).Draw(t, "freeze") == 0 {
-					c.frozen[i] = now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "for")) * time.Second)
+					c.frozenUntil[i] = now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "for")) * time.Second)
 					continue
 				}
 				candidate.Observe(c.stateAt(now.Add(-c.lag[i])), now)
 				claim, ok := candidate.Next(now, i == 0)
 				if ok && rapid.IntRange(0, 9).Draw(t, "lost") > 0 {
 					delay := time.Duration(rapid.IntRange(0, 30_000).Draw(t, "delay")) * time.Millisecond
-					c.inFlight = append(c.inFlight, flight{claim, now.Add(delay)})
+					c.inFlight = append(c.inFlight, delayedClaim{claim, now.Add(delay)})
 				}
 			}
 			if valid > 1 {
@@ -81,25 +81,25 @@
 	})
 }
 
-// land lets the claims that have arrived count.
-func (c *chain) land(now time.Time) {
-	var rest []flight
+// deliver applies the claims that have arrived.
+func (c *simulation) deliver(now time.Time) {
+	var remaining []delayedClaim
 	for _, f := range c.inFlight {
 		if f.arrive.After(now) {
-			rest = append(rest, f)
+			remaining = append(remaining, f)
 			continue
 		}
 		c.offset++
 		if next, counted := c.state.Follow(f.claim, c.offset); counted {
 			c.state = next
-			c.history = append(c.history, moment{now, next})
+			c.history = append(c.history, timedState{now, next})
 		}
 	}
-	c.inFlight = rest
+	c.inFlight = remaining
 }
 
-// Left alone, the first in line holds the lease, and the next takes over
-// after its death.
+// Without failures the first in line holds the lease. The next candidate takes over
+// after the holder's death.
 func TestTakeOver(t *testing.T) {
 	start := time.Unix(1000, 0)
 	first := NewCandidate(DefaultConfig(), "orders", "a", start)
@@ -125,14 +125,15 @@
 	}
 }
 
-// A claim is lost when the store comes back from an older copy. Its holder still gives
-// orders until it runs out, so nobody else begins before, whatever the copy shows; and a
-// claim that was under way beside it counts for nothing.
-func TestAClaimThatTheStoreHasLost(t *testing.T) {
+// The store is restored from an older copy that lacks the holder's claim. The holder
+// still gives orders until its claim expires, so no other candidate may claim before,
+// whatever the copy shows. A claim of another candidate that was in flight does not
+// count.
+func TestLostClaimBlocksOtherCandidates(t *testing.T) {
 	config := Config{TTL: 3 * time.Second, RenewEvery: time.Second, Margin: time.Second}
-	for name, shows := range map[string]State{
-		"no claim":     {Era: 2},
-		"an older one": {Holder: "c", Token: 1<<41 + 3, Serial: 7, Era: 2},
+	for name, restored := range map[string]State{
+		"no claim":       {Era: 2},
+		"an older claim": {Holder: "c", Token: 1<<41 + 3, Serial: 7, Era: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
@@ -141,38 +142,40 @@
 			holder.Observe(none, now)
 			other.Observe(none, now)
 			if _, due := holder.Next(now, true); due {
-				t.Fatal("claimed at once, where a claim may have been lost before")
+				t.Fatal("claimed at once although a claim may have been lost before")
 			}
 			now = now.Add(config.TTL + config.Margin)
 			claim, due := holder.Next(now, true)
-			under, _ := other.Next(now, true)
+			otherClaim, _ := other.Next(now, true)
 			if !due {
 				t.Fatal("the first claim is not due")
 			}
 			holder.Observe(State{Holder: "a", Token: 1<<40 + 6, Serial: claim.Serial, Era: 1}, now)
-			ends := holder.Until()
+			expires := holder.Until()
 			now = now.Add(100 * time.Millisecond)
-			other.Observe(shows, now)
-			for at := now; at.Before(ends); at = at.Add(10 * time.Millisecond) {
+			other.Observe(restored, now)
+			for at := now; at.Before(expires); at = at.Add(10 * time.Millisecond) {
 				if _, due := other.Next(at, true); due {
-					t.Fatalf("claimed %v before the holder ends", ends.Sub(at))
+					t.Fatalf("claimed %v before the holder's claim expired", expires.Sub(at))
 				}
 			}
-			// Its own claim of before the loss was carried out after it.
-			other.Observe(State{Holder: "b", Token: 1<<41 + 6, Serial: under.Serial, Era: 2}, now)
+			// The other candidate's claim was sent before the loss and appended after
+			// it.
+			other.Observe(State{Holder: "b", Token: 1<<41 + 6, Serial: otherClaim.Serial, Era: 2}, now)
 			if _, valid := other.Valid(now); valid {
-				t.Error("two hold the lease")
+				t.Error("two candidates hold the lease")
 			}
 			if _, valid := holder.Valid(now); !valid {
-				t.Error("the holder lost what nobody else has")
+				t.Error("the holder lost the lease although no other candidate holds it")
 			}
 		})
 	}
 }
 
-// A claim that was under way when the store came back older was carried out after that,
-// where the claim of another holder is lost: the next that its sender sees is its own.
-func TestAClaimThatWasCarriedOutInALaterEra(t *testing.T) {
+// A claim was in flight when the store was restored from an older copy, and was
+// appended after that. The claim of another holder is lost. The next state that the
+// sender reads is its own claim, which must not make it the holder.
+func TestClaimAppendedInLaterEraIsNotValid(t *testing.T) {
 	config := Config{TTL: 3 * time.Second, RenewEvery: time.Second, Margin: time.Second}
 	now := time.Unix(1000, 0)
 	c := NewCandidate(config, "k", "b", now)
@@ -185,13 +188,14 @@
 	now = now.Add(100 * time.Millisecond)
 	c.Observe(State{Holder: "b", Token: 1<<41 + 6, Serial: claim.Serial, Era: 2}, now)
 	if _, valid := c.Valid(now); valid {
-		t.Error("it gives orders beside a holder whose claim is lost")
+		t.Error("the candidate may give orders beside a holder whose claim is lost")
 	}
 }
 
-// The store comes back from a copy in which an earlier holder's claim is the last: the
-// later one that is lost still holds, so the earlier holder waits as any other does.
-func TestAClaimOfItsOwnThatIsFoundAgainIsNoLease(t *testing.T) {
+// The store is restored from a copy in which an earlier holder's claim is the last.
+// The later holder, whose claim is lost, still gives orders, so the earlier holder
+// must wait like any other candidate.
+func TestHolderOfRestoredClaimWaits(t *testing.T) {
 	config := Config{TTL: 3 * time.Second, RenewEvery: time.Second, Margin: time.Second}
 	now := time.Unix(1000, 0)
 	earlier := NewCandidate(config, "k", "a", now)
@@ -209,10 +213,10 @@
 	earlier.Observe(mine, now)
 	for wait := time.Duration(0); wait < config.TTL+config.Margin; wait += 10 * time.Millisecond {
 		if _, due := earlier.Next(now.Add(wait), true); due {
-			t.Fatalf("claimed %v after the later holder was seen", wait)
+			t.Fatalf("claimed %v after the restored claim was read", wait)
 		}
 	}
 	if _, due := earlier.Next(now.Add(config.TTL+config.Margin), true); !due {
-		t.Error("never claimed again")
+		t.Error("did not claim after the wait")
 	}
 }
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -11,88 +11,91 @@
 	"github.com/mastwheel/mastwheel/racedetector"
 )
 
-// A bounded search of every order in which candidates read, claim and start again, claims
-// are carried out or lost, time passes, and the store comes back from an older copy. It
-// plays the candidates' own code against a small model of the store and of an engine.
+// A bounded search of every order in which candidates read, claim and restart, claims
+// are appended or lost, time passes, and the store is restored from an older copy. It
+// runs the candidates' own code against a small model of the store and of an engine.
 
-// modelConfig has small times, so that a few steps see a claim run out.
+// modelConfig has short durations, so that a claim expires within a few steps.
 var modelConfig = Config{TTL: 2 * time.Second, RenewEvery: time.Second, Margin: time.Second}
 
-// modelBounds limit the search.
+// modelBounds limits the search.
 type modelBounds struct {
-	candidates, depth, drills, restarts, flights int
+	candidates, depth, restores, restarts, inFlight int
 }
 
-// modelStep is the unit of time, and modelCopyAge how many of them the oldest copy is old
-// that the store comes back from.
+// modelStep is the unit of time. modelCopyAge is the age, in steps, of the oldest
+// copy from which the store is restored.
 const (
-	modelStep    = time.Second
-	modelCopyAge = 2
-	modelSettled = 10 // steps after which no difference of time matters
+	modelStep        = time.Second
+	modelCopyAge     = 2
+	modelTimeHorizon = 10 // steps beyond which time differences count as equal
 )
 
-// protections are the rules that the search may play without, to show what each is for.
+// protections are the rules that the search can switch off, to show what each is
+// needed for.
 type protections struct {
-	// era has a lease's state tell the era of the store, and tokens hold the era of
-	// their offset.
+	// era adds the era of the store to a lease's state. tokens adds the era of their
+	// offset to tokens.
 	era, tokens bool
-	// conditions has a claim carried out only where the log ends as its sender saw.
+	// conditions requires that a claim is appended only if the log ends where its
+	// sender saw the end.
 	conditions bool
 }
 
 var allProtections = protections{era: true, tokens: true, conditions: true}
 
-// storedClaim is the last claim in the store, with the offset behind it, which is where
-// the log ends.
-type storedClaim struct {
+// storeLog is the last claim in the store, with the offset behind it, which is the
+// end of the log.
+type storeLog struct {
 	claim Claim
 	end   uint64
 }
 
-// claimUnderWay was sent by one candidate's run and may be carried out at any time.
-type claimUnderWay struct {
+// inFlightClaim was sent by one run of a candidate and may be appended at any time.
+type inFlightClaim struct {
 	claim Claim
 	end   uint64
 }
 
-// modelCandidate is one instance with its part in the lease.
+// modelCandidate is one instance that takes part in the lease.
 type modelCandidate struct {
 	*Candidate
 	run int
-	// end is where the log ended when it was read last; read is false before.
+	// end is the end of the log at the last read. read is false before the first.
 	end  uint64
 	read bool
 }
 
-// world is one state of the search.
-type world struct {
+// modelState is one state of the search.
+type modelState struct {
 	rules      protections
 	now        time.Time
 	era        uint64
-	stored     storedClaim
-	copies     []storedClaim // of the last steps, the youngest first
-	underWay   []claimUnderWay
+	stored     storeLog
+	copies     []storeLog // one per past step, newest first
+	inFlight   []inFlightClaim
 	candidates []modelCandidate
-	drills     int
+	restores   int
 	restarts   int
-	// highest is the highest token that the engine saw, and by whom.
+	// highest is the highest token that the engine has received, and holder is its
+	// sender.
 	highest uint64
 	holder  string
 }
 
-// newWorld is a moment after the first candidate's claim was carried out, which a copy of
-// the store may lack; nobody has read it yet.
-func newWorld(bounds modelBounds, rules protections) *world {
-	w := &world{rules: rules, now: time.Unix(1000, 0), era: 1, drills: bounds.drills, restarts: bounds.restarts}
+// newModelState returns the state after the first candidate's claim was appended. A
+// copy of the store may lack that claim, and no candidate has read it yet.
+func newModelState(bounds modelBounds, rules protections) *modelState {
+	w := &modelState{rules: rules, now: time.Unix(1000, 0), era: 1, restores: bounds.restores, restarts: bounds.restarts}
 	for i := range bounds.candidates {
 		w.candidates = append(w.candidates, newModelCandidate(i, 0, w.now))
 		w.observe(i)
 	}
 	first := w.candidates[0]
-	first.sent[1] = sentClaim{at: w.now, era: w.state().Era}
-	first.last, first.serial = w.now, 1
-	w.copies = []storedClaim{{}}
-	w.stored = storedClaim{claim: Claim{Key: "k", Holder: first.self, Serial: 1}, end: 1}
+	first.pending[1] = pendingClaim{at: w.now, era: w.state().Era}
+	first.lastSent, first.serial = w.now, 1
+	w.copies = []storeLog{{}}
+	w.stored = storeLog{claim: Claim{Key: "k", Holder: first.self, Serial: 1}, end: 1}
 	return w
 }
 
@@ -101,21 +104,21 @@
 	return modelCandidate{Candidate: NewCandidate(modelConfig, "k", name, now), run: run}
 }
 
-func (w *world) clone() *world {
+func (w *modelState) clone() *modelState {
 	next := *w
 	next.copies = slices.Clone(w.copies)
-	next.underWay = slices.Clone(w.underWay)
+	next.inFlight = slices.Clone(w.inFlight)
 	next.candidates = slices.Clone(w.candidates)
 	for i := range next.candidates {
 		candidate := *w.candidates[i].Candidate
-		candidate.sent = maps.Clone(candidate.sent)
+		candidate.pending = maps.Clone(candidate.pending)
 		next.candidates[i].Candidate = &candidate
 	}
 	return &next
 }
 
-// state is what a candidate reads.
-func (w *world) state() State {
+// state returns what a candidate reads.
+func (w *modelState) state() State {
 	state := State{Holder: w.stored.claim.Holder, Serial: w.stored.claim.Serial}
 	if w.stored.end > 0 {
 		state.Token = w.stored.end
@@ -129,39 +132,40 @@
 	return state
 }
 
-// observe has a candidate read the store.
-func (w *world) observe(i int) {
+// observe lets a candidate read the store.
+func (w *modelState) observe(i int) {
 	candidate := &w.candidates[i]
 	candidate.Observe(w.state(), w.now)
 	candidate.end, candidate.read = w.stored.end, true
 }
 
-// carryOut has a claim reach the store. The store compares offsets and knows no eras.
-func (w *world) carryOut(i int) {
-	sent := w.underWay[i]
-	w.underWay = slices.Delete(w.underWay, i, i+1)
+// deliver appends a claim to the store. The store compares offsets and knows no eras.
+func (w *modelState) deliver(i int) {
+	sent := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	if w.rules.conditions && sent.end != w.stored.end {
 		return
 	}
-	w.stored = storedClaim{claim: sent.claim, end: w.stored.end + 1}
+	w.stored = storeLog{claim: sent.claim, end: w.stored.end + 1}
 }
 
-func (w *world) tick() {
+func (w *modelState) tick() {
 	w.now = w.now.Add(modelStep)
-	w.copies = append([]storedClaim{w.stored}, w.copies...)
+	w.copies = append([]storeLog{w.stored}, w.copies...)
 	w.copies = w.copies[:min(len(w.copies), modelCopyAge)]
 }
 
-// drill has the store come back from a copy.
-func (w *world) drill(i int) {
-	w.drills--
+// restore restores the store from a copy.
+func (w *modelState) restore(i int) {
+	w.restores--
 	w.era++
 	w.stored = w.copies[i]
 	w.copies = nil
 }
 
-// broken takes in what the engine sees, and says which invariant does not hold.
-func (w *world) broken() string {
+// violation applies what the engine receives, and returns the invariant that does not
+// hold.
+func (w *modelState) violation() string {
 	valid := 0
 	for i := range w.candidates {
 		token, ok := w.candidates[i].Valid(w.now)
@@ -174,7 +178,7 @@
 			return "two holders with the same token"
 		}
 		if token < w.highest {
-			return "a token that fell"
+			return "a token decreased"
 		}
 		w.highest, w.holder = token, name
 	}
@@ -187,130 +191,132 @@
 // step is one successor of a state.
 type step struct {
 	name string
-	next *world
+	next *modelState
 }
 
-func (w *world) steps(bounds modelBounds) []step {
+func (w *modelState) steps(bounds modelBounds) []step {
 	var all []step
-	add := func(name string, change func(next *world)) {
+	add := func(name string, change func(next *modelState)) {
 		next := w.clone()
 		change(next)
 		all = append(all, step{name, next})
 	}
-	add("tick", (*world).tick)
+	add("tick", (*modelState).tick)
 	for i, candidate := range w.candidates {
 		name := candidate.self
-		add(name+" reads", func(next *world) { next.observe(i) })
-		if candidate.read && len(w.underWay) < bounds.flights {
+		add(name+" reads", func(next *modelState) { next.observe(i) })
+		if candidate.read && len(w.inFlight) < bounds.inFlight {
 			next := w.clone()
 			claim, due := next.candidates[i].Next(w.now, true)
 			if due {
-				next.underWay = append(next.underWay, claimUnderWay{claim: claim, end: candidate.end})
+				next.inFlight = append(next.inFlight, inFlightClaim{claim: claim, end: candidate.end})
 				all = append(all, step{name + " claims", next})
 			}
 		}
 		if w.restarts > 0 {
-			add(name+" starts again", func(next *world) {
+			add(name+" restarts", func(next *modelState) {
 				next.restarts--
 				next.candidates[i] = newModelCandidate(i, candidate.run+1, next.now)
 			})
 		}
 	}
-	for i, sent := range w.underWay {
-		add("claim of "+sent.claim.Holder+" is carried out", func(next *world) { next.carryOut(i) })
-		add("claim of "+sent.claim.Holder+" is lost", func(next *world) { next.underWay = slices.Delete(next.underWay, i, i+1) })
+	for i, sent := range w.inFlight {
+		add("claim of "+sent.claim.Holder+" is appended", func(next *modelState) { next.deliver(i) })
+		add("claim of "+sent.claim.Holder+" is lost", func(next *modelState) { next.inFlight = slices.Delete(next.inFlight, i, i+1) })
 	}
-	if w.drills > 0 {
+	if w.restores > 0 {
 		for i := range w.copies {
-			add(fmt.Sprintf("store comes back from copy %d", i), func(next *world) { next.drill(i) })
+			add(fmt.Sprintf("store is restored from copy %d", i), func(next *modelState) { next.restore(i) })
 		}
 	}
 	return all
 }
 
-// key names a state, but for when it is.
-func (w *world) key() string {
+// key identifies a state regardless of its absolute time.
+func (w *modelState) key() string {
 	ago := func(at time.Time) int {
 		if at.IsZero() {
-			return -modelSettled
+			return -modelTimeHorizon
 		}
-		return int(min(max(w.now.Sub(at)/modelStep, -modelSettled), modelSettled))
+		return int(min(max(w.now.Sub(at)/modelStep, -modelTimeHorizon), modelTimeHorizon))
 	}
 	var key strings.Builder
-	fmt.Fprint(&key, w.era, w.stored, w.copies, w.underWay, w.drills, w.restarts, w.highest, w.holder)
+	fmt.Fprint(&key, w.era, w.stored, w.copies, w.inFlight, w.restores, w.restarts, w.highest, w.holder)
 	for _, c := range w.candidates {
-		fmt.Fprint(&key, "|", c.self, c.end, c.read, c.state, ago(c.seen), ago(c.last), c.serial, ago(c.until), ago(c.renewed))
-		for _, serial := range slices.Sorted(maps.Keys(c.sent)) {
-			fmt.Fprint(&key, " ", serial, ago(c.sent[serial].at), c.sent[serial].era)
+		fmt.Fprint(&key, "|", c.self, c.end, c.read, c.state, ago(c.changedAt), ago(c.lastSent), c.serial, ago(c.validUntil), ago(c.claimSent))
+		for _, serial := range slices.Sorted(maps.Keys(c.pending)) {
+			fmt.Fprint(&key, " ", serial, ago(c.pending[serial].at), c.pending[serial].era)
 		}
 	}
 	return key.String()
 }
 
-// search plays all orders of steps up to the bounds, breadth first; it returns how many
-// states there are, and the shortest way to one that breaks an invariant.
-func search(bounds modelBounds, rules protections) (states int, broken string, way []string) {
+// search explores all orders of steps up to the bounds, breadth first. It returns the
+// number of states, and the shortest path to a state that violates an invariant.
+func search(bounds modelBounds, rules protections) (states int, violated string, path []string) {
 	type visit struct {
-		world  *world
-		before int
+		state  *modelState
+		parent int
 		step   string
 	}
-	first := newWorld(bounds, rules)
+	first := newModelState(bounds, rules)
 	seen := map[string]bool{first.key(): true}
-	visits := []visit{{world: first, before: -1}}
+	visits := []visit{{state: first, parent: -1}}
 	begin := 0
 	for range bounds.depth {
 		end := len(visits)
 		for at := begin; at < end; at++ {
-			for _, step := range visits[at].world.steps(bounds) {
-				broken = step.next.broken()
+			for _, step := range visits[at].state.steps(bounds) {
+				violated = step.next.violation()
 				key := step.next.key()
 				if seen[key] {
 					continue
 				}
 				seen[key] = true
-				visits = append(visits, visit{world: step.next, before: at, step: step.name})
-				if broken == "" {
+				visits = append(visits, visit{state: step.next, parent: at, step: step.name})
+				if violated == "" {
 					continue
 				}
-				for i := len(visits) - 1; i > 0; i = visits[i].before {
-					way = append(way, visits[i].step)
+				for i := len(visits) - 1; i > 0; i = visits[i].parent {
+					path = append(path, visits[i].step)
 				}
-				slices.Reverse(way)
-				return len(seen), broken, way
+				slices.Reverse(path)
+				return len(seen), violated, path
 			}
-			visits[at].world = nil
+			visits[at].state = nil
 		}
 		begin = end
 	}
 	return len(seen), "", nil
 }
 
-// Whatever comes in which order, no two candidates hold the lease at once, tokens never
-// fall, and no two holders have the same one.
+// In every order of steps, no two candidates hold the lease at once, tokens never
+// decrease, and no two holders have the same token.
 func TestEveryOrderOfStepsKeepsTheLease(t *testing.T) {
 	for _, bounds := range []modelBounds{
-		{candidates: 2, depth: 12, drills: 1, restarts: 0, flights: 2},
-		{candidates: 2, depth: 10, drills: 2, restarts: 1, flights: 2},
-		{candidates: 3, depth: 9, drills: 1, restarts: 0, flights: 2},
+		{candidates: 2, depth: 12, restores: 1, restarts: 0, inFlight: 2},
+		{candidates: 2, depth: 10, restores: 2, restarts: 1, inFlight: 2},
+		{candidates: 3, depth: 9, restores: 1, restarts: 0, inFlight: 2},
 	} {
 		if racedetector.On {
-			// One goroutine plays it all; CI plays the whole depth without the detector.
+			// The search runs in one goroutine. CI runs the full depth without the
+			// race detector.
 			bounds.depth -= 3
 		}
 		t.Run(fmt.Sprintf("%+v", bounds), func(t *testing.T) {
-			states, broken, way := search(bounds, allProtections)
+			states, violated, path := search(bounds, allProtections)
 			t.Logf("%d states", states)
-			if broken != "" {
-				t.Errorf("%s: %s", broken, strings.Join(way, ", "))
+			if violated != "" {
+				t.Errorf("%s: %s", violated, strings.Join(path, ", "))
 			}
 		})
 	}
 }
 
-// Without any one of the protections the search finds an order that breaks an invariant.
+// Without any one of the protections the search finds an order that violates an
+// invariant.
 func TestEachProtectionOfTheLeaseIsNeeded(t *testing.T) {
-	bounds := modelBounds{candidates: 2, depth: 14, drills: 1, restarts: 1, flights: 2}
+	bounds := modelBounds{candidates: 2, depth: 14, restores: 1, restarts: 1, inFlight: 2}
 	for name, without := range map[string]func(*protections){
 		"the era in the state": func(p *protections) { p.era = false },
 		"the era in tokens":    func(p *protections) { p.tokens = false },
@@ -319,11 +325,11 @@
 		t.Run(name, func(t *testing.T) {
 			rules := allProtections
 			without(&rules)
-			states, broken, way := search(bounds, rules)
-			if broken == "" {
-				t.Fatalf("nothing is broken in %d states", states)
+			states, violated, path := search(bounds, rules)
+			if violated == "" {
+				t.Fatalf("no invariant is violated in %d states", states)
 			}
-			t.Logf("%d states; %s: %s", states, broken, strings.Join(way, ", "))
+			t.Logf("%d states; %s: %s", states, violated, strings.Join(path, ", "))
 		})
 	}
 }
