--- a/forward/fuzz_test.go
+++ b/forward/fuzz_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// pieces yields bytes a few at a time.
-type pieces struct {
+// chunkReader returns at most size bytes per read.
+type chunkReader struct {
 	rest []byte
 	size int
 }
 
-func (p *pieces) Read(to []byte) (int, error) {
+func (p *chunkReader) Read(to []byte) (int, error) {
 	if len(p.rest) == 0 {
 		return 0, io.EOF
 	}
@@ -23,20 +23,20 @@
 	return n, nil
 }
 
-func (p *pieces) Close() error { return nil }
+func (p *chunkReader) Close() error { return nil }
 
-// FuzzStream: a stream that ends properly arrives byte for byte, however its events
-// are cut and whatever they hold.
+// FuzzStream checks that a stream that ends with io.EOF arrives byte for byte, whatever
+// its events contain and wherever reads split them.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: x\n\nid: 2\ndata: y\n\n"), uint8(3))
 	f.Add([]byte("id:\n\n\n\nid: 7"), uint8(1))
 	f.Fuzz(func(t *testing.T, whole []byte, size uint8) {
 		b := newBench(t)
-		b.engines.readFor = time.Microsecond
+		b.engines.prefillTime = time.Microsecond
 		b.engines.stream = func(context.Context, string, string) io.ReadCloser {
-			return &pieces{rest: bytes.Clone(whole), size: int(size) + 1}
+			return &chunkReader{rest: bytes.Clone(whole), size: int(size) + 1}
 		}
-		reply := b.Serve(context.Background(), b.generation("a", testPrompt))
+		reply := b.Serve(context.Background(), b.generation("a", testPromptTokens))
 		if reply.Stream == nil {
 			t.Fatalf("status %d", reply.Status)
 		}
@@ -46,6 +46,6 @@
 		if err != nil || !bytes.Equal(got, whole) {
 			t.Fatalf("%q arrives as %q, %v", whole, got, err)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
--- a/forward/handoff_test.go
+++ b/forward/handoff_test.go
@@ -10,13 +10,13 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// misdirected is what an engine says that is not the one that was meant.
+// misdirected returns the error of an engine that is not the one the request is for.
 func misdirected(string, DecodeOrder) error {
 	return &NotRun{Why: reason.HandoffRefused, Sent: true, Misdirected: true, Detail: "status 421"}
 }
 
-func TestAResultGoesToAnotherEngineWhenTheFirstIsMisdirected(t *testing.T) {
-	play(t, func(b *bench) {
+func TestPrefillResultGoesToAnotherEngineAfterMisdirectedHandoff(t *testing.T) {
+	withBench(t, func(b *bench) {
 		first := ""
 		b.engines.decode = func(server string, order DecodeOrder) error {
 			if first == "" {
@@ -24,41 +24,41 @@
 				return misdirected(server, order)
 			}
 			if server == first || order.Result == "" || order.Reservation != Reservation("r-"+server) {
-				t.Errorf("went on at %s with %+v", server, order)
+				t.Errorf("decode at %s with %+v", server, order)
 			}
 			return nil
 		}
-		reply := b.serve(b.generation("a", testPrompt))
-		if reply.Status != 200 || b.did("prefill") != 1 || b.did("decode") != 2 || b.did("release "+first) != 1 {
+		reply := b.serve(b.generation("a", testPromptTokens))
+		if reply.Status != 200 || b.callCount("prefill") != 1 || b.callCount("decode") != 2 || b.callCount("release "+first) != 1 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 
-		// The next request leaves the misdirected engine alone, though that
-		// takes reservations.
+		// The next request avoids that engine, although the engine grants
+		// reservations.
 		b.engines.calls = nil
-		if b.serve(b.generation("b", testPrompt)); b.did("reserve "+first) != 0 {
-			t.Errorf("asked again: %v", b.engines.calls)
+		if b.serve(b.generation("b", testPromptTokens)); b.callCount("reserve "+first) != 0 {
+			t.Errorf("reserved there again: %v", b.engines.calls)
 		}
 	})
 }
 
-func TestAResultThatHasLapsedIsNotHandedOn(t *testing.T) {
-	play(t, func(b *bench) {
+func TestExpiredPrefillResultIsNotHandedOff(t *testing.T) {
+	withBench(t, func(b *bench) {
 		b.engines.decode = func(server string, order DecodeOrder) error {
 			time.Sleep(450 * time.Millisecond)
 			return misdirected(server, order)
 		}
-		reply := b.serve(b.generation("a", testPrompt))
-		if reply.Status != 503 || reply.RetryAfter == 0 || b.did("decode") != 1 || b.did("free") != 1 || b.did("release") != 1 {
+		reply := b.serve(b.generation("a", testPromptTokens))
+		if reply.Status != 503 || reply.RetryAfter == 0 || b.callCount("decode") != 1 || b.callCount("free") != 1 || b.callCount("release") != 1 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestAnEngineThatLeavesWhileThePromptIsReadGetsNoStream(t *testing.T) {
-	play(t, func(b *bench) {
+func TestEngineListedAsDrainingDuringPrefillGetsNoStream(t *testing.T) {
+	withBench(t, func(b *bench) {
 		left := ""
 		b.engines.prefill = func(string) error {
 			for _, call := range b.engines.calls {
@@ -66,80 +66,81 @@
 					left = server
 				}
 			}
-			b.leave(left)
+			b.drain(left)
 			return nil
 		}
-		reply := b.serve(b.generation("a", testPrompt))
-		if reply.Status != 200 || left == "" || b.did("decode "+left) != 0 || b.did("decode") != 1 || b.did("release "+left) != 1 {
+		reply := b.serve(b.generation("a", testPromptTokens))
+		if reply.Status != 200 || left == "" || b.callCount("decode "+left) != 0 || b.callCount("decode") != 1 || b.callCount("release "+left) != 1 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestWithNoOtherEngineARequestForALeavingOneIsRefused(t *testing.T) {
-	play(t, func(b *bench) {
-		b.leave("d1")
+func TestRequestIsRefusedIfAllEnginesDrain(t *testing.T) {
+	withBench(t, func(b *bench) {
+		b.drain("d1")
 		b.engines.prefill = func(string) error {
-			b.leave("d2")
+			b.drain("d2")
 			return nil
 		}
-		reply := b.serve(b.generation("a", testPrompt))
-		if reply.Status != 503 || reply.RetryAfter == 0 || b.did("decode") != 0 || b.did("free") != 1 {
+		reply := b.serve(b.generation("a", testPromptTokens))
+		if reply.Status != 503 || reply.RetryAfter == 0 || b.callCount("decode") != 0 || b.callCount("free") != 1 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestAnEngineThatLeavesWhileMemoryIsAwaitedIsNotReserved(t *testing.T) {
-	play(t, func(b *bench) {
+func TestEngineThatDrainsWhileRequestWaitsForMemoryIsNotReserved(t *testing.T) {
+	withBench(t, func(b *bench) {
 		for _, id := range []string{"d1", "d2"} {
-			b.Fleet.Server(id).Hold(testMemory)
+			b.Fleet.Server(id).Hold(testMemoryTokens)
 		}
-		time.AfterFunc(testTarget/8, func() {
-			b.leave("d1")
-			b.Fleet.Server("d1").Hold(-testMemory)
+		time.AfterFunc(testTTFT/8, func() {
+			b.drain("d1")
+			b.Fleet.Server("d1").Hold(-testMemoryTokens)
 		})
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 503 || b.did("reserve") != 0 {
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 503 || b.callCount("reserve") != 0 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
 	})
 }
 
-func TestAPrefillEngineThatIsGoneMeanwhileStillHasItsResult(t *testing.T) {
-	play(t, func(b *bench) {
+func TestResultOfUnlistedPrefillEngineIsStillUsed(t *testing.T) {
+	withBench(t, func(b *bench) {
 		b.engines.prefill = func(string) error {
 			before := b.View.Servers()
 			after := &Servers{ByRun: maps.Clone(before.ByRun), Plain: before.Plain, Decode: before.Decode, Prefill: map[string][]*table.BackendView{}}
 			delete(after.ByRun, "p1")
 			delete(after.ByRun, "p2")
-			b.believe(after)
+			b.setServers(after)
 			for _, call := range b.engines.calls {
 				if server, ok := strings.CutPrefix(call, "reserve "); ok {
-					b.leave(server)
+					b.drain(server)
 				}
 			}
 			return nil
 		}
 		b.engines.decode = func(_ string, order DecodeOrder) error {
 			if order.Source == nil || order.Result == "" {
-				t.Errorf("the result was lost: %+v", order)
+				t.Errorf("the prefill result was not used: %+v", order)
 			}
 			return nil
 		}
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 200 {
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 200 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
 	})
 }
 
-// An engine takes a reservation once, also for a request whose result it can't fetch.
-func TestAPromptThatIsReadAfterAllGetsAReservationOfItsOwn(t *testing.T) {
-	play(t, func(b *bench) {
+// An engine uses up a reservation even if it fails to fetch the request's prefill result.
+// The prefill at the decode engine therefore needs a new one.
+func TestPrefillAtDecodeAfterFailedHandoffGetsNewReservation(t *testing.T) {
+	withBench(t, func(b *bench) {
 		used := 0
 		b.engines.decode = func(_ string, order DecodeOrder) error {
-			reserved := b.did("reserve")
+			reserved := b.callCount("reserve")
 			if order.Reservation == "" || reserved == used {
 				return &NotRun{Why: reason.HandoffRefused, Sent: true, Detail: "status 503"}
 			}
@@ -149,30 +150,31 @@
 			}
 			return nil
 		}
-		reply := b.serve(b.generation("a", testPrompt))
-		if reply.Status != 200 || b.did("prefill") != 1 || b.did("decode") != 2 || b.did("reserve") != 2 {
+		reply := b.serve(b.generation("a", testPromptTokens))
+		if reply.Status != 200 || b.callCount("prefill") != 1 || b.callCount("decode") != 2 || b.callCount("reserve") != 2 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-// Where no engine has room for it then, it is refused, and nothing is kept.
-func TestAPromptThatIsReadAfterAllFindsNoRoom(t *testing.T) {
-	play(t, func(b *bench) {
+// If no engine has memory for the new reservation, the request is refused and everything
+// it held is released.
+func TestPrefillAtDecodeAfterFailedHandoffIsRefusedWithoutMemory(t *testing.T) {
+	withBench(t, func(b *bench) {
 		b.engines.decode = func(string, DecodeOrder) error {
 			for _, id := range []string{"d1", "d2"} {
-				b.Fleet.Server(id).Hold(testMemory)
+				b.Fleet.Server(id).Hold(testMemoryTokens)
 			}
 			return &NotRun{Why: reason.HandoffRefused, Sent: true, Detail: "status 503"}
 		}
-		reply := b.serve(b.generation("a", testPrompt))
-		if reply.Status != 503 || reply.RetryAfter == 0 || b.did("decode") != 1 || b.did("release") != 1 || b.did("free") != 1 {
+		reply := b.serve(b.generation("a", testPromptTokens))
+		if reply.Status != 503 || reply.RetryAfter == 0 || b.callCount("decode") != 1 || b.callCount("release") != 1 || b.callCount("free") != 1 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
 		for _, id := range []string{"d1", "d2"} {
-			b.Fleet.Server(id).Hold(-testMemory)
+			b.Fleet.Server(id).Hold(-testMemoryTokens)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
--- a/forward/harness_test.go
+++ b/forward/harness_test.go
@@ -18,17 +18,17 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Figures of the service under test.
+// Sizes and limits of the service under test.
 const (
-	testMemory   = 40_000
-	testPrompt   = 4000
-	testMost     = 2000
-	testTarget   = 900 * time.Millisecond
-	testReadRate = 50_000 // tokens a second
+	testMemoryTokens = 40_000
+	testPromptTokens = 4000
+	testMaxTokens    = 2000
+	testTTFT         = 900 * time.Millisecond
+	testPrefillRate  = 50_000 // tokens per second
 )
 
-// engines stands in for all backend servers. Each call is noted; a function
-// that is not nil answers in place of success.
+// engines is a fake of all backend servers. It records each call. A call succeeds
+// unless the function of its name is set, which then decides the result.
 type engines struct {
 	mu    sync.Mutex
 	calls []string
@@ -38,20 +38,20 @@
 	decode  func(server string, order DecodeOrder) error
 	call    func(server string) (*Answer, error)
 	move    func(from, to string, last bool) (Prefilled, error)
-	// statusOf returns the status of a run; nil for 200.
+	// statusOf returns the HTTP status of a stream; nil means 200.
 	statusOf func(server string) int
-	// stream makes the stream of a run; it ends with an error, or io.EOF.
+	// stream returns the body of a stream, which ends with an error or io.EOF.
 	stream func(ctx context.Context, server, lastEvent string) io.ReadCloser
-	// readFor is how long a prompt is read.
-	readFor time.Duration
-	// ended holds the servers that have ended.
-	ended map[string]bool
+	// prefillTime is the duration of a prefill.
+	prefillTime time.Duration
+	// crashed holds the ids of servers whose process has exited.
+	crashed map[string]bool
 }
 
 func (e *engines) HasEnded(_ context.Context, server *registry.Entry) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ended[server.ID]
+	return e.crashed[server.ID]
 }
 
 func (e *engines) status(server string) int {
@@ -61,14 +61,14 @@
 	return e.statusOf(server)
 }
 
-func (e *engines) note(step, server string) {
+func (e *engines) record(step, server string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.calls = append(e.calls, step+" "+server)
 }
 
 func (e *engines) Call(_ context.Context, server *registry.Entry, _ *Request, _ time.Time) (*Answer, error) {
-	e.note("call", server.ID)
+	e.record("call", server.ID)
 	if e.call != nil {
 		return e.call(server.ID)
 	}
@@ -76,7 +76,7 @@
 }
 
 func (e *engines) Reserve(_ context.Context, server *registry.Entry, _ int, _ time.Duration) (Reservation, error) {
-	e.note("reserve", server.ID)
+	e.record("reserve", server.ID)
 	if e.reserve != nil {
 		if err := e.reserve(server.ID); err != nil {
 			return "", err
@@ -86,14 +86,14 @@
 }
 
 func (e *engines) Release(_ context.Context, server *registry.Entry, _ Reservation) error {
-	e.note("release", server.ID)
+	e.record("release", server.ID)
 	return nil
 }
 
 func (e *engines) Prefill(ctx context.Context, server *registry.Entry, _ *Request, _ time.Time) (Prefilled, error) {
-	e.note("prefill", server.ID)
+	e.record("prefill", server.ID)
 	select {
-	case <-time.After(e.readFor):
+	case <-time.After(e.prefillTime):
 	case <-ctx.Done():
 		return "", ctx.Err()
 	}
@@ -110,7 +110,7 @@
 	if last {
 		step = "stop"
 	}
-	e.note(step, from.ID+" to "+to.ID)
+	e.record(step, from.ID+" to "+to.ID)
 	if e.move != nil {
 		return e.move(from.ID, to.ID, last)
 	}
@@ -118,12 +118,12 @@
 }
 
 func (e *engines) Free(_ context.Context, server *registry.Entry, _ Prefilled) error {
-	e.note("free", server.ID)
+	e.record("free", server.ID)
 	return nil
 }
 
 func (e *engines) Decode(ctx context.Context, server *registry.Entry, _ *Request, order DecodeOrder, _ time.Time) (*Stream, error) {
-	e.note("decode", server.ID)
+	e.record("decode", server.ID)
 	if e.decode != nil {
 		if err := e.decode(server.ID, order); err != nil {
 			return nil, err
@@ -135,7 +135,7 @@
 	return &Stream{Status: 200, ReadCloser: io.NopCloser(strings.NewReader("id: 1\ndata: x\n\n"))}, nil
 }
 
-// testView is what the test says.
+// testView is a View whose content the test sets.
 type testView struct {
 	view    *table.View
 	servers atomic.Pointer[Servers]
@@ -147,22 +147,22 @@
 // Confirmed implements View.
 func (b *testView) Confirmed() time.Time { return time.Now() }
 
-// believe replaces what is believed of the servers.
-func (b *bench) believe(servers *Servers) { b.View.(*testView).servers.Store(servers) }
+// setServers replaces the view of the servers.
+func (b *bench) setServers(servers *Servers) { b.View.(*testView).servers.Store(servers) }
 
-// bench is a gateway before engines that the test plays.
+// bench is a gateway with fake backend servers.
 type bench struct {
 	*Gateway
 	engines *engines
 	t       *testing.T
 }
 
-// newBench returns a gateway with two prefill engines, p1 and p2, and two decode
-// engines, d1 and d2, of a service "llm", and with two servers, s1 and s2, of a
-// plain service "web".
+// newBench returns a gateway with the prefill engines p1 and p2 and the decode
+// engines d1 and d2 of a service "llm", and with the servers s1 and s2 of a plain
+// service "web".
 func newBench(t *testing.T) *bench {
 	t.Helper()
-	made, err := table.New(1, map[table.RowKey]map[table.Column]string{
+	testTable, err := table.New(1, map[table.RowKey]map[table.Column]string{
 		{Kind: table.Service, Name: "llm"}: {
 			table.ColType: table.TypeModel, table.ColModel: "m", table.ColPrefillPool: "llm/prefill", table.ColDecodePool: "llm/decode",
 			table.ColMemory: "40000", table.ColHold: "2000", table.ColHandle: "500", table.ColStride: "64",
@@ -191,7 +191,7 @@
 	backends := make(map[string]*table.BackendView)
 	add := func(pools map[string][]*table.BackendView, service string, ids ...string) {
 		for _, id := range ids {
-			backend := &table.BackendView{Name: id, Pool: service, Zone: "z", MemoryTokens: testMemory}
+			backend := &table.BackendView{Name: id, Pool: service, Zone: "z", MemoryTokens: testMemoryTokens}
 			servers.ByRun[id] = &registry.Entry{ID: id, Service: service, Zone: "z", Address: id}
 			servers.ByID[id] = servers.ByRun[id]
 			pools[service] = append(pools[service], backend)
@@ -204,36 +204,36 @@
 	fleet := route.NewFleet()
 	fleet.Adopt(&table.View{Backends: backends})
 	for _, id := range []string{"p1", "p2"} {
-		fleet.Server(id).Prefills.Measure(testReadRate, time.Second)
+		fleet.Server(id).Prefills.Measure(testPrefillRate, time.Second)
 	}
 	budget := route.NewSharedBudget(0.2, 10*time.Second, 20, time.Now())
 	random := rand.New(rand.NewPCG(1, 2))
-	b := &bench{engines: &engines{readFor: 50 * time.Millisecond}, t: t}
-	believed := &testView{view: made.Compile()}
-	believed.servers.Store(servers)
+	b := &bench{engines: &engines{prefillTime: 50 * time.Millisecond}, t: t}
+	view := &testView{view: testTable.Compile()}
+	view.servers.Store(servers)
 	b.Gateway = New(Deps{
-		Zone: "z", View: believed, Fleet: fleet, Backends: b.engines, Budget: func(string) *route.SharedBudget { return budget }, Metrics: metrics.New(), Random: random.Float64,
+		Zone: "z", View: view, Fleet: fleet, Backends: b.engines, Budget: func(string) *route.SharedBudget { return budget }, Metrics: metrics.New(), Random: random.Float64,
 		Poison: poison.New(poison.DefaultConfig(), random.Float64, func() int { return 1 }),
 	}, DefaultConfig())
 	return b
 }
 
-// generation makes a request for a stream.
+// generation returns a generation request on the route "stream".
 func (b *bench) generation(id string, prompt int) *Request {
 	now := time.Now()
 	return &Request{
 		ID: id, Method: "POST", Target: "/stream/x", Path: "/stream/x", Host: "h", Arrived: now, Deadline: now.Add(14 * time.Second),
-		Generation: &Generation{Model: "m", PromptTokens: prompt, MaxTokens: testMost, LengthHint: testMost / 2},
+		Generation: &Generation{Model: "m", PromptTokens: prompt, MaxTokens: testMaxTokens, LengthHint: testMaxTokens / 2},
 	}
 }
 
-// plain makes a request of a safe route.
+// plain returns a plain request on the route "safe".
 func (b *bench) plain(id string) *Request {
 	now := time.Now()
 	return &Request{ID: id, Method: "GET", Target: "/safe/x", Path: "/safe/x", Host: "h", Arrived: now, Deadline: now.Add(3 * time.Second)}
 }
 
-// serve takes a request to its end.
+// serve serves a request, reads its stream to the end and waits for the cleanup.
 func (b *bench) serve(r *Request) *Reply {
 	reply := b.Serve(context.Background(), r)
 	if reply.Stream != nil {
@@ -246,8 +246,8 @@
 	return reply
 }
 
-// did counts the calls that begin with a text.
-func (b *bench) did(text string) int {
+// callCount returns the number of recorded calls that begin with a text.
+func (b *bench) callCount(text string) int {
 	b.engines.mu.Lock()
 	defer b.engines.mu.Unlock()
 	count := 0
@@ -259,12 +259,13 @@
 	return count
 }
 
-// nothingHeld checks that no note of a request is left over.
-func (b *bench) nothingHeld() {
+// checkNothingHeld checks that no server has commitments left and that no request is
+// in flight.
+func (b *bench) checkNothingHeld() {
 	b.t.Helper()
 	for id := range b.View.Servers().ByRun {
 		if own := b.Fleet.Server(id).Own(); own != (route.Commitment{}) {
-			b.t.Errorf("left over at %s: %+v", id, own)
+			b.t.Errorf("commitment left at %s: %+v", id, own)
 		}
 	}
 	if n := b.InFlight(); n != 0 {
@@ -272,15 +273,15 @@
 	}
 }
 
-// sinceVirtualStart leads from the virtual clock's begin beyond today.
+// sinceVirtualStart advances the virtual clock from its start past today's date.
 const sinceVirtualStart = 50 * 365 * 24 * time.Hour
 
-// play runs a test on a virtual clock.
-func play(t *testing.T, test func(b *bench)) {
+// withBench runs a test with a new bench on a virtual clock.
+func withBench(t *testing.T, test func(b *bench)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		// The virtual clock begins in 2000; what package route notes of a server
-		// counts from the process's start.
+		// The virtual clock begins in 2000, but package route measures times from
+		// the start of the process.
 		time.Sleep(sinceVirtualStart)
 		test(newBench(t))
 	})
--- a/forward/leaving_test.go
+++ b/forward/leaving_test.go
@@ -10,24 +10,24 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// A request that waits, or is tried again, may last longer than a server that
-// leaves may be used for: whatever is sent next goes by the list as it is then, not
-// as it was when the request came. Found by reading the code for what else
-// decides by old updates, after requests had reached servers that had left.
+// A request that waits or is retried may outlast the time in which a draining server may
+// still be used. Each send must therefore use the list of servers as it is at that moment,
+// not as it was when the request arrived. Requests had reached servers that had left.
 
-// leave has a server say that it leaves.
-func (b *bench) leave(id string) {
+// drain marks a server as draining in the view of the servers.
+func (b *bench) drain(id string) {
 	next := *b.View.Servers()
 	entry := *next.ByRun[id]
 	entry.Draining = true
 	next.ByRun = maps.Clone(next.ByRun)
 	next.ByRun[id] = &entry
-	next.Plain, next.Prefill, next.Decode = leaving(next.Plain, id), leaving(next.Prefill, id), leaving(next.Decode, id)
+	next.Plain, next.Prefill, next.Decode = withDraining(next.Plain, id), withDraining(next.Prefill, id), withDraining(next.Decode, id)
 	next.Position++
-	b.believe(&next)
+	b.setServers(&next)
 }
 
-func leaving(pools map[string][]*table.BackendView, id string) map[string][]*table.BackendView {
+// withDraining returns a copy of the pools with one server marked as draining.
+func withDraining(pools map[string][]*table.BackendView, id string) map[string][]*table.BackendView {
 	pools = maps.Clone(pools)
 	for service, pool := range pools {
 		next := append([]*table.BackendView(nil), pool...)
@@ -43,7 +43,7 @@
 	return pools
 }
 
-// other is the server of a pair that is not the one.
+// other returns the server of a pair that is not the given one.
 func other(one, first, second string) string {
 	if one == first {
 		return second
@@ -51,47 +51,48 @@
 	return first
 }
 
-func TestACallThatIsTriedAgainGoesToNoServerThatBeganToLeave(t *testing.T) {
-	play(t, func(b *bench) {
+func TestRetriedCallAvoidsDrainingServer(t *testing.T) {
+	withBench(t, func(b *bench) {
 		b.engines.call = func(server string) (*Answer, error) {
 			time.Sleep(time.Second)
-			b.leave(other(server, "s1", "s2"))
-			return nil, errors.New("broke off")
+			b.drain(other(server, "s1", "s2"))
+			return nil, errors.New("connection lost")
 		}
 		b.serve(b.plain("1"))
-		if calls := b.did("call"); calls != 1 {
-			t.Errorf("%d calls, one was to a server that had begun to leave", calls)
+		if calls := b.callCount("call"); calls != 1 {
+			t.Errorf("%d calls, want 1: the other server was draining", calls)
 		}
 	})
 }
 
-func TestAPromptThatIsReadAgainGoesToNoEngineThatBeganToLeave(t *testing.T) {
-	play(t, func(b *bench) {
+func TestRetriedPrefillAvoidsDrainingEngine(t *testing.T) {
+	withBench(t, func(b *bench) {
 		b.engines.prefill = func(server string) error {
-			b.leave(other(server, "p1", "p2"))
-			return errors.New("broke off")
+			b.drain(other(server, "p1", "p2"))
+			return errors.New("connection lost")
 		}
-		b.serve(b.generation("1", testPrompt))
-		if prefills := b.did("prefill"); prefills != 1 {
-			t.Errorf("%d prefills, one was at an engine that had begun to leave", prefills)
+		b.serve(b.generation("1", testPromptTokens))
+		if prefills := b.callCount("prefill"); prefills != 1 {
+			t.Errorf("%d prefills, want 1: the other engine was draining", prefills)
 		}
 	})
 }
 
-// The prefill engine is chosen before memory is reserved, which may take a while.
-func TestAPromptIsReadAtNoEngineThatBeganToLeaveMeanwhile(t *testing.T) {
-	play(t, func(b *bench) {
+// The prefill engine is selected before memory is reserved, and the reservation may take
+// a while.
+func TestPrefillAvoidsEngineThatDrainsDuringReservation(t *testing.T) {
+	withBench(t, func(b *bench) {
 		before := b.View.Servers()
 		b.engines.reserve = func(string) error {
-			b.leave("p1")
+			b.drain("p1")
 			return nil
 		}
 		for i := range 8 {
-			b.believe(before)
-			b.serve(b.generation(strconv.Itoa(i), testPrompt))
+			b.setServers(before)
+			b.serve(b.generation(strconv.Itoa(i), testPromptTokens))
 		}
-		if prefills := b.did("prefill p1"); prefills > 0 {
-			t.Errorf("%d of 8 prefills at an engine that had begun to leave", prefills)
+		if prefills := b.callCount("prefill p1"); prefills > 0 {
+			t.Errorf("%d of 8 prefills at a draining engine", prefills)
 		}
 	})
 }
--- a/forward/memory_test.go
+++ b/forward/memory_test.go
@@ -14,16 +14,16 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-func TestARequestWithoutRoomIsRefusedWithinAPartOfItsTarget(t *testing.T) {
-	play(t, func(b *bench) {
+func TestRequestWithoutMemoryIsRefusedWithinQuarterOfItsTarget(t *testing.T) {
+	withBench(t, func(b *bench) {
 		for _, id := range []string{"d1", "d2"} {
-			b.Fleet.Server(id).Hold(testMemory - testPrompt)
+			b.Fleet.Server(id).Hold(testMemoryTokens - testPromptTokens)
 		}
-		r := b.generation("a", testPrompt)
+		r := b.generation("a", testPromptTokens)
 		reply := b.serve(r)
-		latest := r.Arrived.Add(testTarget / 4)
+		latest := r.Arrived.Add(testTTFT / 4)
 		if reply.Status != 503 || reply.Reason != reason.NoDecodeMemory || reply.RetryAfter == 0 || len(b.engines.calls) != 0 {
-			t.Errorf("status %d, %s after %v", reply.Status, reply.Reason, b.engines.calls)
+			t.Errorf("status %d, reason %s after %v", reply.Status, reply.Reason, b.engines.calls)
 		}
 		if time.Now().After(latest) {
 			t.Errorf("refused after %v", time.Since(r.Arrived))
@@ -31,37 +31,37 @@
 	})
 }
 
-func TestMemoryThatBecomesFreeIsTaken(t *testing.T) {
-	play(t, func(b *bench) {
+func TestFreedMemoryIsReserved(t *testing.T) {
+	withBench(t, func(b *bench) {
 		for _, id := range []string{"d1", "d2"} {
-			b.Fleet.Server(id).Hold(testMemory)
+			b.Fleet.Server(id).Hold(testMemoryTokens)
 		}
-		time.AfterFunc(testTarget/8, func() { b.Fleet.Server("d2").Hold(-testMemory) })
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 200 || !slices.Contains(b.engines.calls, "decode d2") {
+		time.AfterFunc(testTTFT/8, func() { b.Fleet.Server("d2").Hold(-testMemoryTokens) })
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 200 || !slices.Contains(b.engines.calls, "decode d2") {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
 	})
 }
 
-func TestMemoryStaysFreeForRequestsThatOutgrowWhatWasExpected(t *testing.T) {
-	play(t, func(b *bench) {
-		need := testPrompt + int(float64(testMost/2)*b.config.HintMargin)
-		b.sizesOf("llm").Asked(need, testMost/2)
-		left := need + int(b.sizesOf("llm").Spare(testMemory)*testMemory)
-		b.Fleet.Server("d1").Hold(testMemory - left + 100)
-		b.Fleet.Server("d2").Hold(testMemory)
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 503 {
-			t.Errorf("with too little left: status %d", reply.Status)
+func TestMemoryIsKeptFreeForRequestsThatOutgrowTheirEstimate(t *testing.T) {
+	withBench(t, func(b *bench) {
+		need := testPromptTokens + int(float64(testMaxTokens/2)*b.config.HintMargin)
+		b.sizesOf("llm").Asked(need, testMaxTokens/2)
+		left := need + int(b.sizesOf("llm").Spare(testMemoryTokens)*testMemoryTokens)
+		b.Fleet.Server("d1").Hold(testMemoryTokens - left + 100)
+		b.Fleet.Server("d2").Hold(testMemoryTokens)
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 503 {
+			t.Errorf("with too little free memory: status %d", reply.Status)
 		}
 		b.Fleet.Server("d1").Hold(-200)
-		if reply := b.serve(b.generation("b", testPrompt)); reply.Status != 200 {
-			t.Errorf("with enough left: status %d after %v", reply.Status, b.engines.calls)
+		if reply := b.serve(b.generation("b", testPromptTokens)); reply.Status != 200 {
+			t.Errorf("with enough free memory: status %d after %v", reply.Status, b.engines.calls)
 		}
 	})
 }
 
-func TestARefusalByTheEngineLeadsToAnother(t *testing.T) {
-	play(t, func(b *bench) {
+func TestReservationRefusedByEngineIsTriedAtAnother(t *testing.T) {
+	withBench(t, func(b *bench) {
 		refused := ""
 		b.engines.reserve = func(server string) error {
 			if refused == "" {
@@ -70,62 +70,63 @@
 			}
 			return nil
 		}
-		reply := b.serve(b.generation("a", testPrompt))
-		if reply.Status != 200 || b.did("reserve") != 2 || strings.HasSuffix(b.engines.calls[len(b.engines.calls)-1], refused) {
+		reply := b.serve(b.generation("a", testPromptTokens))
+		if reply.Status != 200 || b.callCount("reserve") != 2 || strings.HasSuffix(b.engines.calls[len(b.engines.calls)-1], refused) {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestLengthsOfOneServiceSayNothingOfAnother(t *testing.T) {
-	play(t, func(b *bench) {
+func TestLengthEstimatesAreKeptPerService(t *testing.T) {
+	withBench(t, func(b *bench) {
 		for range 100 {
 			b.lengthsOf("short").Guessed(100)
 		}
 		if got := b.lengthsOf("long").Guessed(9000); got != 9000 {
-			t.Errorf("9000 became %d", got)
+			t.Errorf("estimate for a hint of 9000 is %d", got)
 		}
 	})
 }
 
-func TestAResultStaysInItsZoneWhereRoomIsEqual(t *testing.T) {
-	play(t, func(b *bench) {
+func TestPrefillResultStaysInItsZoneIfMemoryIsEqual(t *testing.T) {
+	withBench(t, func(b *bench) {
 		servers := b.View.Servers()
 		for _, backend := range []*table.BackendView{servers.Prefill["llm"][0], servers.Prefill["llm"][1], servers.Decode["llm"][0]} {
 			backend.Zone = "far"
 		}
 		for i := range 40 {
-			b.serve(b.generation(strconv.Itoa(i), testPrompt))
+			b.serve(b.generation(strconv.Itoa(i), testPromptTokens))
 		}
-		// Two of two are drawn three times in four.
-		if stayed := b.did("decode d1"); stayed < 24 {
-			t.Errorf("%d of 40 results stayed in their zone", stayed)
+		// Two random draws from two engines include d1 in three of four cases.
+		if stayed := b.callCount("decode d1"); stayed < 24 {
+			t.Errorf("only %d of 40 results stayed in their zone", stayed)
 		}
 	})
 }
 
-// What an engine's failure or the rest of a stream says of lengths is nothing.
-func TestOnlyWholeStreamsTellOfLengths(t *testing.T) {
-	play(t, func(b *bench) {
-		b.breaks(0, 0, nil)
-		spare := func() float64 { return b.sizesOf("llm").Spare(testMemory) }
-		b.serve(b.generation("a", testPrompt))
+// The length of a failed answer or of the remainder of a resumed stream must not change
+// the estimates.
+func TestOnlyCompleteStreamsUpdateLengthEstimates(t *testing.T) {
+	withBench(t, func(b *bench) {
+		b.breakRuns(0, 0, nil)
+		spare := func() float64 { return b.sizesOf("llm").Spare(testMemoryTokens) }
+		b.serve(b.generation("a", testPromptTokens))
 		before := spare()
 		b.engines.statusOf = func(string) int { return 500 }
 		b.engines.stream = func(context.Context, string, string) io.ReadCloser { return io.NopCloser(strings.NewReader("failed")) }
 		for range 30 {
-			b.serve(b.generation("a", testPrompt))
+			b.serve(b.generation("a", testPromptTokens))
 		}
 		b.engines.statusOf = nil
-		b.breaks(0, 0, nil)
+		b.breakRuns(0, 0, nil)
 		for range 30 {
-			r := b.generation("a", testPrompt)
+			r := b.generation("a", testPromptTokens)
 			r.LastEvent = "4"
 			b.serve(r)
 		}
 		if after := spare(); math.Abs(after-before) > 0.002 {
-			t.Errorf("%.3f stayed free, now %.3f", before, after)
+			t.Errorf("fraction of memory kept free changed from %.3f to %.3f", before, after)
 		}
 	})
 }
--- a/forward/move_test.go
+++ b/forward/move_test.go
@@ -18,29 +18,30 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// movable is how many events a stream has that is long enough to move: a second.
-const movable = 100
+// movableEvents is the number of events of a stream that lasts a second, which is long
+// enough to move it.
+const movableEvents = 100
 
-// run is one run of a stream at an engine.
+// streamRun is one decode call for a stream.
 type streamRun struct {
 	server string
 	order  DecodeOrder
 }
 
-// movers plays engines that hand streams to each other.
-type movers struct {
+// movingBench is a bench whose engines can move streams to each other.
+type movingBench struct {
 	*bench
 	mu   sync.Mutex
 	runs []streamRun
-	// stopped has the run at hand end without its end.
+	// stopped makes the current run's stream end early.
 	stopped *atomic.Bool
-	// copied and stop answer the calls of a move; nil for success.
-	copied func() (Prefilled, error)
-	stop   func(stop func()) (Prefilled, error)
+	// onCopy and onStop return the results of the calls of a move; nil means success.
+	onCopy func() (Prefilled, error)
+	onStop func(stop func()) (Prefilled, error)
 }
 
-func newMovers(b *bench) *movers {
-	m := &movers{bench: b}
+func newMovingBench(b *bench) *movingBench {
+	m := &movingBench{bench: b}
 	view := b.View.(*testView).view
 	view.Services["llm"].Engine.Moves = true
 	b.engines.decode = func(server string, order DecodeOrder) error {
@@ -54,32 +55,32 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.stopped = new(atomic.Bool)
-		return &stoppable{events: events{ctx: ctx, next: first + 1, last: movable, end: io.EOF}, stopped: m.stopped}
+		return &stoppable{events: events{ctx: ctx, next: first + 1, last: movableEvents, end: io.EOF}, stopped: m.stopped}
 	}
 	b.engines.move = m.move
 	return m
 }
 
-func (m *movers) move(from, _ string, last bool) (Prefilled, error) {
+func (m *movingBench) move(from, _ string, last bool) (Prefilled, error) {
 	m.mu.Lock()
 	stopped := m.stopped
 	m.mu.Unlock()
 	if !last {
-		if m.copied != nil {
-			return m.copied()
+		if m.onCopy != nil {
+			return m.onCopy()
 		}
 		return "copy", nil
 	}
 	stop := func() { stopped.Store(true) }
-	if m.stop != nil {
-		return m.stop(stop)
+	if m.onStop != nil {
+		return m.onStop(stop)
 	}
 	stop()
 	return Prefilled("m-" + from), nil
 }
 
-// leaves has the engine at which the stream began leave after a while.
-func (m *movers) leaves(after time.Duration) {
+// drainAfter marks the engine at which the stream began as draining after a duration.
+func (m *movingBench) drainAfter(after time.Duration) {
 	time.AfterFunc(after, func() {
 		m.mu.Lock()
 		at := m.runs[0].server
@@ -92,12 +93,12 @@
 			changed.Draining = id == at
 			next.ByRun[id] = &changed
 		}
-		m.believe(&next)
+		m.setServers(&next)
 	})
 }
 
-// ran lists where the stream ran.
-func (m *movers) ran() string {
+// engineNames returns the engines that ran the stream, in order.
+func (m *movingBench) engineNames() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var at []string
@@ -107,7 +108,7 @@
 	return strings.Join(at, " ")
 }
 
-// stoppable is a stream that ends without its end once its run was stopped.
+// stoppable is a stream that ends early once its run was stopped.
 type stoppable struct {
 	events
 	stopped *atomic.Bool
@@ -120,60 +121,61 @@
 	return s.events.Read(p)
 }
 
+// wholeMovable is what the caller of a stream of movableEvents events gets.
 func wholeMovable() string {
 	var text strings.Builder
-	for i := range movable {
+	for i := range movableEvents {
 		fmt.Fprintf(&text, "id: %d\ndata: %d\n\n", i+1, i+1)
 	}
 	return text.String()
 }
 
-// long makes a request whose stream has as many events as it may.
-func (m *movers) long(id string) *Request {
-	r := m.generation(id, testPrompt)
-	r.Generation.MaxTokens = movable * 64
+// longRequest returns a request that allows movableEvents events.
+func (m *movingBench) longRequest(id string) *Request {
+	r := m.generation(id, testPromptTokens)
+	r.Generation.MaxTokens = movableEvents * 64
 	return r
 }
 
-// A stream that may not be repeated leaves its engine with it, whole, and without being
-// read or run anew.
-func TestAStreamMovesOffAnEngineThatLeaves(t *testing.T) {
-	play(t, func(b *bench) {
-		m := newMovers(b)
-		m.leaves(300 * time.Millisecond)
-		reply, body, err := b.read(m.long("a"))
+// A stream whose route forbids repeats moves off a draining engine. It stays complete, and
+// neither its prefill nor its generation is repeated.
+func TestStreamMovesOffDrainingEngine(t *testing.T) {
+	withBench(t, func(b *bench) {
+		m := newMovingBench(b)
+		m.drainAfter(300 * time.Millisecond)
+		reply, body, err := b.read(m.longRequest("a"))
 		if err != nil || body != wholeMovable() || reply.Status != 200 {
-			t.Fatalf("%v, %q", err, body)
+			t.Fatalf("error %v, body %q", err, body)
 		}
 		first, second := m.runs[0], m.runs[1]
 		if len(m.runs) != 2 || first.server == second.server || second.order.Source.ID != first.server ||
 			second.order.Result != Prefilled("m-"+first.server) || second.order.LastEvent == "" {
-			t.Errorf("%+v", m.runs)
+			t.Errorf("runs %+v", m.runs)
 		}
-		if b.did("prefill") != 1 || b.did("copy") != 1 || b.did("stop") != 1 {
-			t.Errorf("%v", b.engines.calls)
+		if b.callCount("prefill") != 1 || b.callCount("copy") != 1 || b.callCount("stop") != 1 {
+			t.Errorf("calls %v", b.engines.calls)
 		}
 		if reply.Fields[0].Value != first.server {
-			t.Errorf("head of %v", reply.Fields)
+			t.Errorf("header fields %v", reply.Fields)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestEnginesThatDoNotMoveStreamsAreNotAsked(t *testing.T) {
-	play(t, func(b *bench) {
-		m := newMovers(b)
+func TestEnginesWithoutMoveSupportGetNoMoveCalls(t *testing.T) {
+	withBench(t, func(b *bench) {
+		m := newMovingBench(b)
 		b.View.(*testView).view.Services["llm"].Engine.Moves = false
-		m.leaves(300 * time.Millisecond)
-		if _, body, err := b.read(m.long("a")); err != nil || body != wholeMovable() || b.did("copy") != 0 {
-			t.Errorf("%v, %v", err, b.engines.calls)
+		m.drainAfter(300 * time.Millisecond)
+		if _, body, err := b.read(m.longRequest("a")); err != nil || body != wholeMovable() || b.callCount("copy") != 0 {
+			t.Errorf("error %v, calls %v", err, b.engines.calls)
 		}
 	})
 }
 
-// What fails of a move costs the caller nothing while the run goes on, and as little as
-// may be once it was stopped.
-func TestMovesThatFail(t *testing.T) {
+// A move that fails before the run has stopped doesn't affect the caller's stream. After the
+// stop, the stream continues at its old engine if that still has its memory.
+func TestFailedMoves(t *testing.T) {
 	refused := &NotRun{Why: reason.BackendRefused, Sent: true, Detail: "status 503"}
 	lost := errors.New("connection reset")
 	for name, test := range map[string]struct {
@@ -182,108 +184,109 @@
 		whole  bool
 		ran    int
 	}{
-		"no room":                         {copied: func() (Prefilled, error) { return "", refused }, whole: true, ran: 1},
-		"its copy is not answered":        {copied: func() (Prefilled, error) { return "", lost }, whole: true, ran: 1},
-		"no room once it has stopped":     {stop: func(stop func()) (Prefilled, error) { stop(); return "kept", refused }, whole: true, ran: 2},
-		"it does not stop":                {stop: func(func()) (Prefilled, error) { return "", refused }, whole: true, ran: 1},
-		"whether it stopped is not known": {stop: func(stop func()) (Prefilled, error) { stop(); return "", lost }, whole: false, ran: 1},
+		"no memory":                {copied: func() (Prefilled, error) { return "", refused }, whole: true, ran: 1},
+		"copy call unanswered":     {copied: func() (Prefilled, error) { return "", lost }, whole: true, ran: 1},
+		"no memory after the stop": {stop: func(stop func()) (Prefilled, error) { stop(); return "kept", refused }, whole: true, ran: 2},
+		"stop refused":             {stop: func(func()) (Prefilled, error) { return "", refused }, whole: true, ran: 1},
+		"stop calls unanswered":    {stop: func(stop func()) (Prefilled, error) { stop(); return "", lost }, whole: false, ran: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(b *bench) {
-				m := newMovers(b)
-				m.copied, m.stop = test.copied, test.stop
-				m.leaves(300 * time.Millisecond)
-				_, body, err := b.read(m.long("a"))
+			withBench(t, func(b *bench) {
+				m := newMovingBench(b)
+				m.onCopy, m.onStop = test.copied, test.stop
+				m.drainAfter(300 * time.Millisecond)
+				_, body, err := b.read(m.longRequest("a"))
 				if whole := err == nil && body == wholeMovable(); whole != test.whole {
-					t.Errorf("whole %v: %v, %d bytes", whole, err, len(body))
+					t.Errorf("whole stream %v: %v, %d bytes", whole, err, len(body))
 				}
 				if len(m.runs) < test.ran || (test.ran == 1 && len(m.runs) != 1) {
-					t.Errorf("ran at %s", m.ran())
+					t.Errorf("ran at %s", m.engineNames())
 				}
 				if test.ran == 2 && (m.runs[1].server != m.runs[0].server || m.runs[1].order.Result != "kept") {
-					t.Errorf("%+v", m.runs)
+					t.Errorf("runs %+v", m.runs)
 				}
-				b.nothingHeld()
+				b.checkNothingHeld()
 			})
 		})
 	}
 }
 
-// An answer to the call that stops a run was lost; the call is made once more.
-func TestAStopThatIsNotAnsweredIsRepeated(t *testing.T) {
-	play(t, func(b *bench) {
-		m := newMovers(b)
+// The answer to the call that stops a run is lost, and the call is repeated once.
+func TestUnansweredStopCallIsRepeated(t *testing.T) {
+	withBench(t, func(b *bench) {
+		m := newMovingBench(b)
 		calls := 0
-		m.stop = func(stop func()) (Prefilled, error) {
+		m.onStop = func(stop func()) (Prefilled, error) {
 			stop()
 			if calls++; calls == 1 {
 				return "", errors.New("connection reset")
 			}
 			return "kept", nil
 		}
-		m.leaves(300 * time.Millisecond)
-		if _, body, err := b.read(m.long("a")); err != nil || body != wholeMovable() || len(m.runs) != 2 {
-			t.Errorf("%v at %s", err, m.ran())
+		m.drainAfter(300 * time.Millisecond)
+		if _, body, err := b.read(m.longRequest("a")); err != nil || body != wholeMovable() || len(m.runs) != 2 {
+			t.Errorf("error %v, ran at %s", err, m.engineNames())
 		}
 	})
 }
 
-// full has others take so much of every engine but those that are named.
-func (b *bench) full(tokens int, but ...string) {
+// fillEngines makes other instances hold tokens at each decode engine, except the one
+// named first in except.
+func (b *bench) fillEngines(tokens int, except ...string) {
 	for _, name := range []string{"d1", "d2"} {
-		if len(but) == 0 || but[0] != name {
+		if len(except) == 0 || except[0] != name {
 			b.Fleet.Server(name).SetOthers(route.Commitment{InFlight: 6, Memory: tokens})
 		}
 	}
 }
 
-// A stream that needs more than was expected leaves an engine that has no more.
+// A stream that needs more memory than expected moves off an engine that has none left.
 func TestAStreamThatOutgrowsItsEngineMoves(t *testing.T) {
-	play(t, func(b *bench) {
-		m := newMovers(b)
-		b.full(testMemory, "d1")
+	withBench(t, func(b *bench) {
+		m := newMovingBench(b)
+		b.fillEngines(testMemoryTokens, "d1")
 		time.AfterFunc(500*time.Millisecond, func() {
-			b.Fleet.Server("d1").SetOthers(route.Commitment{InFlight: 6, Memory: testMemory - 9000})
+			b.Fleet.Server("d1").SetOthers(route.Commitment{InFlight: 6, Memory: testMemoryTokens - 9000})
 			b.Fleet.Server("d2").SetOthers(route.Commitment{})
 		})
-		if _, body, err := b.read(m.long("a")); err != nil || body != wholeMovable() || m.ran() != "d1 d2" {
-			t.Errorf("%v at %s", err, m.ran())
+		if _, body, err := b.read(m.longRequest("a")); err != nil || body != wholeMovable() || m.engineNames() != "d1 d2" {
+			t.Errorf("error %v, ran at %s", err, m.engineNames())
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestAStreamStaysWhereNoOtherHasRoom(t *testing.T) {
-	play(t, func(b *bench) {
-		m := newMovers(b)
-		b.full(testMemory, "d1")
+func TestStreamStaysIfNoOtherEngineHasMemory(t *testing.T) {
+	withBench(t, func(b *bench) {
+		m := newMovingBench(b)
+		b.fillEngines(testMemoryTokens, "d1")
 		time.AfterFunc(500*time.Millisecond, func() {
-			b.Fleet.Server("d1").SetOthers(route.Commitment{InFlight: 6, Memory: testMemory - 9000})
+			b.Fleet.Server("d1").SetOthers(route.Commitment{InFlight: 6, Memory: testMemoryTokens - 9000})
 		})
-		if _, body, err := b.read(m.long("a")); err != nil || body != wholeMovable() || m.ran() != "d1" || b.did("copy") != 0 {
-			t.Errorf("%v at %s", err, m.ran())
+		if _, body, err := b.read(m.longRequest("a")); err != nil || body != wholeMovable() || m.engineNames() != "d1" || b.callCount("copy") != 0 {
+			t.Errorf("error %v, ran at %s", err, m.engineNames())
 		}
 	})
 }
 
-// A caller that leaves in the middle of a move leaves nothing behind.
-func TestACallerThatLeavesDuringAMove(t *testing.T) {
-	play(t, func(b *bench) {
-		m := newMovers(b)
+// A caller that disconnects during a move leaves no commitments behind.
+func TestCallerDisconnectsDuringMove(t *testing.T) {
+	withBench(t, func(b *bench) {
+		m := newMovingBench(b)
 		ctx, leave := context.WithCancel(context.Background())
-		m.copied = func() (Prefilled, error) {
+		m.onCopy = func() (Prefilled, error) {
 			leave()
 			time.Sleep(50 * time.Millisecond)
 			return "copy", nil
 		}
-		m.leaves(300 * time.Millisecond)
-		reply := b.Serve(ctx, m.long("a"))
+		m.drainAfter(300 * time.Millisecond)
+		reply := b.Serve(ctx, m.longRequest("a"))
 		if _, err := io.Copy(io.Discard, reply.Stream); err != nil {
 			t.Logf("the stream ended with %v", err)
 		}
 		reply.Stream.Close()
 		b.Wait()
-		b.nothingHeld()
+		b.checkNothingHeld()
 		for _, backend := range b.View.Servers().Decode["llm"] {
 			if held := b.Fleet.Server(backend.Name).Own(); held != (route.Commitment{}) {
 				t.Errorf("%s: %+v", backend.Name, held)
--- a/forward/pressure_load_test.go
+++ b/forward/pressure_load_test.go
@@ -20,99 +20,100 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// The load: a plain service whose servers are in need, and callers who come back once.
+// The simulation has a plain service, servers under backpressure, and callers that retry
+// once.
 const (
-	deskInstances = 8
-	deskServers   = 6
-	// deskSlots is how many requests a server works on at once, and deskWork for how long
-	// each (source: the users' sheets).
-	deskSlots = 6
-	deskWork  = 60 * time.Millisecond
-	// deskTarget is within which time an answer is in time, and deskPatience how long a
-	// caller waits.
-	deskTarget   = 300 * time.Millisecond
-	deskPatience = 3 * time.Second
-	deskLoad     = 60.0 // requests a second
-	deskFor      = 20 * time.Second
-	deskBeat     = 40 * time.Millisecond
-	deskLimit    = 5.1
-	deskRest     = 3 * time.Second
+	pressureInstances = 8
+	pressureServers   = 6
+	// pressureSlots is the number of requests that a server processes at once, and
+	// pressureWorkTime the time it takes for each, as in the users' workload.
+	pressureSlots    = 6
+	pressureWorkTime = 60 * time.Millisecond
+	// pressureTarget is the latency target of an answer, and pressureCallerTimeout the time
+	// that a caller waits.
+	pressureTarget        = 300 * time.Millisecond
+	pressureCallerTimeout = 3 * time.Second
+	pressureRate          = 60.0 // requests per second
+	pressureDuration      = 20 * time.Second
+	pressureBeat          = 40 * time.Millisecond
+	pressureLimit         = 5.1
+	pressureBackoff       = 3 * time.Second
 )
 
-// need is what servers in need do.
-type need string
+// condition is the kind of backpressure that the affected servers report.
+type condition string
 
 const (
-	needLimit need = "limited"
-	needLeave need = "leaving"
-	needRest  need = "resting"
+	conditionLimited    condition = "limited"
+	conditionDraining   condition = "draining"
+	conditionBackingOff condition = "backing off"
 )
 
-// desk is a service with servers, some of them in need.
-type desk struct {
-	need  need
-	needy int
-	slots map[string]chan struct{}
+// pressureSim is a service with servers, some of them under backpressure.
+type pressureSim struct {
+	condition condition
+	affected  int
+	slots     map[string]chan struct{}
 
-	mu       sync.Mutex
-	refusals time.Duration
-	asked    int
-	served   int
-	inTime   int
-	refused  int
+	mu             sync.Mutex
+	longestRefusal time.Duration
+	requested      int
+	served         int
+	inTime         int
+	refused        int
 }
 
-// deskBackends is the servers as one instance reaches them.
-type deskBackends struct {
+// pressureBackends implements Backends for one instance.
+type pressureBackends struct {
 	Backends
-	*desk
+	*pressureSim
 	fleet *route.Fleet
 }
 
-func (d deskBackends) Call(ctx context.Context, server *registry.Entry, r *Request, _ time.Time) (*Answer, error) {
+func (d pressureBackends) Call(ctx context.Context, server *registry.Entry, r *Request, _ time.Time) (*Answer, error) {
 	pressure := d.fleet.Server(server.ID).Pressure
 	if verdict := pressure.Send(backpressure.PlainWork, time.Now()); verdict != backpressure.Clear {
 		return nil, &NotRun{Why: reason.ServersLimited, Withheld: true}
 	}
 	sent := time.Now()
-	said := d.says(server.ID)
-	if said.Backoff > 0 {
-		pressure.Heard(said, sent, time.Now())
+	reported := d.statusOf(server.ID)
+	if reported.Backoff > 0 {
+		pressure.Heard(reported, sent, time.Now())
 		return nil, &NotRun{Why: reason.BackendRefused, Sent: true}
 	}
 	select {
 	case d.slots[server.ID] <- struct{}{}:
 	case <-ctx.Done():
-		return nil, errors.New("left")
+		return nil, errors.New("the caller disconnected")
 	}
 	defer func() { <-d.slots[server.ID] }()
-	time.Sleep(deskWork)
-	pressure.Heard(said, sent, time.Now())
+	time.Sleep(pressureWorkTime)
+	pressure.Heard(reported, sent, time.Now())
 	return &Answer{Status: 200}, nil
 }
 
-// says is what a server says of itself.
-func (d *desk) says(server string) backpressure.Statement {
-	said := backpressure.Statement{Kind: backpressure.Plain}
+// statusOf returns the status that a server reports.
+func (d *pressureSim) statusOf(server string) backpressure.Statement {
+	reported := backpressure.Statement{Kind: backpressure.Plain}
 	var number int
-	if _, err := fmt.Sscanf(server, "s%d", &number); err != nil || number >= d.needy {
-		return said
+	if _, err := fmt.Sscanf(server, "s%d", &number); err != nil || number >= d.affected {
+		return reported
 	}
-	switch d.need {
-	case needLimit:
-		said.Limited, said.Limit = true, deskLimit
-	case needLeave:
-		said.Leaving = true
-	case needRest:
-		said.Refused, said.Backoff = true, deskRest
+	switch d.condition {
+	case conditionLimited:
+		reported.Limited, reported.Limit = true, pressureLimit
+	case conditionDraining:
+		reported.Leaving = true
+	case conditionBackingOff:
+		reported.Refused, reported.Backoff = true, pressureBackoff
 	}
-	return said
+	return reported
 }
 
-// gateways returns the instances, which know of each other.
-func (d *desk) gateways(t *testing.T) []*Gateway {
+// gateways returns the gateways of the instances, which know each other's names.
+func (d *pressureSim) gateways(t *testing.T) []*Gateway {
 	t.Helper()
-	made, err := table.New(1, map[table.RowKey]map[table.Column]string{
+	testTable, err := table.New(1, map[table.RowKey]map[table.Column]string{
 		{Kind: table.Service, Name: "web"}: {table.ColType: table.TypePlain, table.ColPool: "web"},
 		{Kind: table.Pool, Name: "web"}:    {table.ColRole: table.RolePlain},
 		{Kind: table.Route, Name: "safe"}: {
@@ -126,39 +127,39 @@
 	servers := &Servers{ByRun: map[string]*registry.Entry{}, ByID: map[string]*registry.Entry{}, Plain: map[string][]*table.BackendView{}}
 	rows := make(map[string]*table.BackendView)
 	d.slots = make(map[string]chan struct{})
-	for i := range deskServers {
+	for i := range pressureServers {
 		name := fmt.Sprint("s", i)
 		servers.ByRun[name] = &registry.Entry{ID: name, Service: "web", Zone: "z", Address: name}
 		servers.ByID[name] = servers.ByRun[name]
 		rows[name] = &table.BackendView{Name: name, Pool: "web", Zone: "z"}
 		servers.Plain["web"] = append(servers.Plain["web"], rows[name])
-		d.slots[name] = make(chan struct{}, deskSlots)
+		d.slots[name] = make(chan struct{}, pressureSlots)
 	}
-	var taking []string
-	for i := range deskInstances {
-		taking = append(taking, fmt.Sprint("i", i))
+	var names []string
+	for i := range pressureInstances {
+		names = append(names, fmt.Sprint("i", i))
 	}
 	var all []*Gateway
-	for _, name := range taking {
+	for _, name := range names {
 		fleet := route.NewFleet()
-		fleet.Backpressure.SetInstances(backpressure.Instances{Self: name, Taking: taking})
+		fleet.Backpressure.SetInstances(backpressure.Instances{Self: name, Taking: names})
 		fleet.Adopt(&table.View{Backends: rows})
-		believed := &testView{view: made.Compile()}
-		believed.servers.Store(servers)
-		budget := route.NewSharedBudget(0.2, 10*time.Second, 56/deskInstances, time.Now())
+		view := &testView{view: testTable.Compile()}
+		view.servers.Store(servers)
+		budget := route.NewSharedBudget(0.2, 10*time.Second, 56/pressureInstances, time.Now())
 		all = append(all, New(Deps{
-			Zone: "z", View: believed, Fleet: fleet, Backends: deskBackends{desk: d, fleet: fleet}, Metrics: metrics.New(), Random: rand.Float64,
+			Zone: "z", View: view, Fleet: fleet, Backends: pressureBackends{pressureSim: d, fleet: fleet}, Metrics: metrics.New(), Random: rand.Float64,
 			Budget: func(string) *route.SharedBudget { return budget },
-			Poison: poison.New(poison.DefaultConfig(), rand.Float64, func() int { return deskInstances }),
+			Poison: poison.New(poison.DefaultConfig(), rand.Float64, func() int { return pressureInstances }),
 		}, DefaultConfig()))
 	}
 	return all
 }
 
-// gossip has the instances send each other what servers say.
+// gossip exchanges the instances' reports of servers until ctx ends.
 func gossip(ctx context.Context, gateways []*Gateway) {
 	for ctx.Err() == nil {
-		time.Sleep(deskBeat)
+		time.Sleep(pressureBeat)
 		for _, from := range gateways {
 			update := from.Fleet.Backpressure.Update(time.Now())
 			for _, to := range gateways {
@@ -170,12 +171,12 @@
 	}
 }
 
-// caller sends one request, and comes back once if refused, when told to but within a third
-// of the time left (source: the users' protocol).
-func (d *desk) caller(gateways []*Gateway, id int) {
+// caller sends one request and retries once if refused. It waits as long as Retry-After
+// says, but at most a third of the time left, as the users' protocol requires.
+func (d *pressureSim) caller(gateways []*Gateway, id int) {
 	random := rand.New(rand.NewPCG(uint64(id), 6))
 	began := time.Now()
-	ends := began.Add(deskPatience)
+	ends := began.Add(pressureCallerTimeout)
 	for try := range 2 {
 		now := time.Now()
 		r := &Request{ID: fmt.Sprint(id, ".", try), Method: "GET", Target: "/safe/x", Path: "/safe/x", Host: "h", Arrived: now, Deadline: ends}
@@ -185,12 +186,12 @@
 		if reply.Status == 200 {
 			d.served++
 		}
-		if reply.Status == 200 && time.Since(began) <= deskTarget {
+		if reply.Status == 200 && time.Since(began) <= pressureTarget {
 			d.inTime++
 		}
 		if reply.Status == statusUnavailable {
 			d.refused++
-			d.refusals = max(d.refusals, took)
+			d.longestRefusal = max(d.longestRefusal, took)
 		}
 		d.mu.Unlock()
 		if reply.Status != statusUnavailable {
@@ -200,59 +201,62 @@
 	}
 }
 
-// play has callers come for a while, the last ones after servers are known to be in need.
-func (d *desk) play(t *testing.T) {
+// run starts callers at random times for pressureDuration and waits for all of them. The
+// last callers arrive after all instances know of the backpressure.
+func (d *pressureSim) run(t *testing.T) {
 	gateways := d.gateways(t)
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { gossip(ctx, gateways) })
 	random := rand.New(rand.NewPCG(1, 6))
-	for began := time.Now(); time.Since(began) < deskFor; {
-		d.asked++
-		id := d.asked
+	for began := time.Now(); time.Since(began) < pressureDuration; {
+		d.requested++
+		id := d.requested
 		running.Go(func() { d.caller(gateways, id) })
-		time.Sleep(time.Duration(random.ExpFloat64() / deskLoad * float64(time.Second)))
+		time.Sleep(time.Duration(random.ExpFloat64() / pressureRate * float64(time.Second)))
 	}
-	time.Sleep(2 * deskPatience)
+	time.Sleep(2 * pressureCallerTimeout)
 	stop()
 	running.Wait()
 }
 
-// TestCallersOfServersInNeed plays what callers get while some or all servers of a service
-// are in need: the others carry what they can, and what cannot be served is refused at once.
-func TestCallersOfServersInNeed(t *testing.T) {
-	for _, what := range []need{needLimit, needLeave, needRest} {
-		for _, needy := range []int{1, 3, 5, 6} {
-			t.Run(fmt.Sprint(what, " ", needy), func(t *testing.T) {
+// TestRequestsWithServersUnderBackpressure checks what callers get while some or all servers
+// of a service report a limit, a drain or a backoff: the other servers take over what they
+// can, and requests that no server can take are refused at once.
+func TestRequestsWithServersUnderBackpressure(t *testing.T) {
+	for _, state := range []condition{conditionLimited, conditionDraining, conditionBackingOff} {
+		for _, affected := range []int{1, 3, 5, 6} {
+			t.Run(fmt.Sprint(state, " ", affected), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					time.Sleep(sinceVirtualStart)
-					checkDesk(t, &desk{need: what, needy: needy})
+					checkPressure(t, &pressureSim{condition: state, affected: affected})
 				})
 			})
 		}
 	}
 }
 
-func checkDesk(t *testing.T, d *desk) {
-	d.play(t)
+func checkPressure(t *testing.T, d *pressureSim) {
+	d.run(t)
 	possible := 1.0
-	if d.needy == deskServers {
+	if d.affected == pressureServers {
 		possible = 0
-		if d.need == needLimit {
-			possible = deskLimit * deskServers / deskLoad
+		if d.condition == conditionLimited {
+			possible = pressureLimit * pressureServers / pressureRate
 		}
 	}
-	served, inTime := float64(d.served)/float64(d.asked), float64(d.inTime)/float64(d.asked)
-	t.Logf("%d of %d servers %s: %.3f of %d requests served, %.3f in time, %.3f possible; %d refused, after %v at most",
-		d.needy, deskServers, d.need, served, d.asked, inTime, possible, d.refused, d.refusals)
+	served, inTime := float64(d.served)/float64(d.requested), float64(d.inTime)/float64(d.requested)
+	t.Logf("%d of %d servers %s: %.3f of %d requests served, %.3f in time, %.3f possible; %d refused, within %v",
+		d.affected, pressureServers, d.condition, served, d.requested, inTime, possible, d.refused, d.longestRefusal)
 	if served < 0.9*possible {
-		t.Errorf("%.3f served of %.3f possible", served, possible)
+		t.Errorf("fraction served %.3f, possible %.3f", served, possible)
 	}
-	// What comes back after a refusal, and is late then, takes the place of what is new.
-	if d.needy < deskServers && inTime < 0.9*possible {
-		t.Errorf("%.3f in time of %.3f possible", inTime, possible)
+	// If all servers are limited, a late retry takes the place of a new request, so the
+	// fraction in time isn't checked.
+	if d.affected < pressureServers && inTime < 0.9*possible {
+		t.Errorf("fraction in time %.3f, possible %.3f", inTime, possible)
 	}
-	if d.refusals > 100*time.Millisecond {
-		t.Errorf("a refusal took %v", d.refusals)
+	if d.longestRefusal > 100*time.Millisecond {
+		t.Errorf("a refusal took %v", d.longestRefusal)
 	}
 }
--- a/forward/pressure_test.go
+++ b/forward/pressure_test.go
@@ -13,8 +13,8 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// limit has servers name a rate limit, of which nothing is left for now.
-func (b *bench) limit(perSecond float64, kind backpressure.Kind, servers ...string) {
+// exhaustLimit makes servers report a rate limit and uses up what it allows for now.
+func (b *bench) exhaustLimit(perSecond float64, kind backpressure.Kind, servers ...string) {
 	now := time.Now()
 	b.Fleet.Backpressure.SetInstances(backpressure.Instances{Self: "i", Taking: []string{"i"}})
 	for _, name := range servers {
@@ -25,69 +25,69 @@
 	}
 }
 
-// What cannot be served is refused at once, and its caller told to come back when there is
-// room.
-func TestRequestsBeyondAllLimitsAreRefusedAtOnce(t *testing.T) {
-	play(t, func(b *bench) {
-		b.limit(0.4, backpressure.Plain, "s1", "s2")
+// A request beyond all rate limits is refused at once, with a Retry-After of when a server
+// can take it.
+func TestRequestsBeyondAllRateLimitsAreRefusedAtOnce(t *testing.T) {
+	withBench(t, func(b *bench) {
+		b.exhaustLimit(0.4, backpressure.Plain, "s1", "s2")
 		began := time.Now()
 		reply := b.serve(b.plain("a"))
 		if reply.Status != statusUnavailable || reply.Reason != reason.ServersLimited || time.Since(began) > 0 {
-			t.Errorf("%d, %s after %v", reply.Status, reply.Reason, time.Since(began))
+			t.Errorf("status %d, reason %s after %v", reply.Status, reply.Reason, time.Since(began))
 		}
-		// Nothing is left, or part of a call: the next one is for 1 of 0.4 a second.
+		// Less than one call is left, and the next one takes 1 of 0.4 per second.
 		if reply.RetryAfter < 100*time.Millisecond || reply.RetryAfter > 4*time.Second {
-			t.Errorf("told to come back after %v", reply.RetryAfter)
+			t.Errorf("retry after %v", reply.RetryAfter)
 		}
-		if b.did("call") != 0 {
-			t.Error("sent all the same")
+		if b.callCount("call") != 0 {
+			t.Error("the request was sent")
 		}
 	})
 }
 
-func TestRequestsGoWhereThereIsRoomWithinLimits(t *testing.T) {
-	play(t, func(b *bench) {
-		b.limit(0.4, backpressure.Plain, "s1")
+func TestRequestsGoToServersBelowTheirRateLimit(t *testing.T) {
+	withBench(t, func(b *bench) {
+		b.exhaustLimit(0.4, backpressure.Plain, "s1")
 		for range 20 {
 			if reply := b.serve(b.plain("a")); reply.Status != 200 {
-				t.Fatalf("%d, %s", reply.Status, reply.Reason)
+				t.Fatalf("status %d, reason %s", reply.Status, reply.Reason)
 			}
 		}
-		if b.did("call s1") != 0 || b.did("call s2") != 20 {
-			t.Errorf("%d calls to the server that is limited", b.did("call s1"))
+		if b.callCount("call s1") != 0 || b.callCount("call s2") != 20 {
+			t.Errorf("%d calls to the limited server, want 0", b.callCount("call s1"))
 		}
 	})
 }
 
-func TestAGenerationIsRefusedAtOnceWhereNoEngineTakesIt(t *testing.T) {
-	play(t, func(b *bench) {
-		b.limit(0.4, backpressure.Reserve, "d1", "d2")
+func TestGenerationIsRefusedAtOnceIfAllEnginesAreAtTheirRateLimit(t *testing.T) {
+	withBench(t, func(b *bench) {
+		b.exhaustLimit(0.4, backpressure.Reserve, "d1", "d2")
 		began := time.Now()
-		reply := b.serve(b.generation("a", testPrompt))
+		reply := b.serve(b.generation("a", testPromptTokens))
 		if reply.Status != statusUnavailable || reply.Reason != reason.ServersLimited || time.Since(began) > 0 {
-			t.Errorf("%d, %s after %v", reply.Status, reply.Reason, time.Since(began))
+			t.Errorf("status %d, reason %s after %v", reply.Status, reply.Reason, time.Since(began))
 		}
-		if b.did("reserve")+b.did("prefill") != 0 {
-			t.Error("engines were asked all the same")
+		if b.callCount("reserve")+b.callCount("prefill") != 0 {
+			t.Error("engines were called")
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-// A limit that leaves room before a reservation would have been given up is waited for.
-func TestAGenerationWaitsForRoomThatComesSoon(t *testing.T) {
-	play(t, func(b *bench) {
-		b.limit(20, backpressure.Reserve, "d1", "d2")
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 200 {
-			t.Errorf("%d, %s", reply.Status, reply.Reason)
+// A request waits for a rate limit that allows it before its reservation would time out.
+func TestGenerationWaitsForRateLimitThatSoonAllowsIt(t *testing.T) {
+	withBench(t, func(b *bench) {
+		b.exhaustLimit(20, backpressure.Reserve, "d1", "d2")
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 200 {
+			t.Errorf("status %d, reason %s", reply.Status, reply.Reason)
 		}
 	})
 }
 
-// The word that holds a request back may come between its choice and its sending. That
-// speaks against no server.
-func TestARequestThatIsWithheldGoesElsewhere(t *testing.T) {
-	play(t, func(b *bench) {
+// A server's report may withhold a request after the server was selected for it. That must
+// not count as a failure of the server.
+func TestWithheldRequestGoesToAnotherServer(t *testing.T) {
+	withBench(t, func(b *bench) {
 		b.engines.call = func(server string) (*Answer, error) {
 			if server == "s1" {
 				return nil, &NotRun{Why: reason.ServersLimited, Withheld: true}
@@ -96,44 +96,44 @@
 		}
 		for i := range 30 {
 			if reply := b.Serve(context.Background(), b.plain(fmt.Sprint(i))); reply.Status != 200 {
-				t.Fatalf("%d, %s", reply.Status, reply.Reason)
+				t.Fatalf("status %d, reason %s", reply.Status, reply.Reason)
 			}
 		}
-		if state := b.Fleet.Server("s1").Breaker.State(time.Now()); state != route.BreakerClosed || b.did("call s1") < 5 {
-			t.Errorf("breaker %s after %d", state, b.did("call s1"))
+		if state := b.Fleet.Server("s1").Breaker.State(time.Now()); state != route.BreakerClosed || b.callCount("call s1") < 5 {
+			t.Errorf("breaker %s after %d calls", state, b.callCount("call s1"))
 		}
 	})
 }
 
-// says has a server say something of itself.
-func (b *bench) says(server string, said backpressure.Statement) {
+// reportStatus delivers a status report of a server.
+func (b *bench) reportStatus(server string, reported backpressure.Statement) {
 	now := time.Now()
-	b.Fleet.Server(server).Pressure.Heard(said, now, now)
+	b.Fleet.Server(server).Pressure.Heard(reported, now, now)
 }
 
-func TestRequestsThatAllServersWantNoneOfAreRefusedAtOnce(t *testing.T) {
-	play(t, func(b *bench) {
-		for server, rest := range map[string]time.Duration{"s1": 4 * time.Second, "s2": 2 * time.Second} {
-			b.says(server, backpressure.Statement{Kind: backpressure.Plain, Refused: true, Backoff: rest})
+func TestRequestIsRefusedAtOnceIfAllServersBackOff(t *testing.T) {
+	withBench(t, func(b *bench) {
+		for server, backoff := range map[string]time.Duration{"s1": 4 * time.Second, "s2": 2 * time.Second} {
+			b.reportStatus(server, backpressure.Statement{Kind: backpressure.Plain, Refused: true, Backoff: backoff})
 		}
 		began := time.Now()
 		reply := b.serve(b.plain("a"))
-		if reply.Reason != reason.ServersResting || time.Since(began) > 0 || b.did("call") > 0 {
-			t.Errorf("%s after %v, %d calls", reply.Reason, time.Since(began), b.did("call"))
+		if reply.Reason != reason.ServersResting || time.Since(began) > 0 || b.callCount("call") > 0 {
+			t.Errorf("reason %s after %v, %d calls", reply.Reason, time.Since(began), b.callCount("call"))
 		}
 		if reply.RetryAfter < 2*time.Second || reply.RetryAfter > 4*time.Second {
-			t.Errorf("told to come back after %v, the first opens after 2 s", reply.RetryAfter)
+			t.Errorf("retry after %v, want 2 s to 4 s: the first backoff ends after 2 s", reply.RetryAfter)
 		}
 	})
 }
 
-// Rest that is asked for is no failure, also where the server does not say that it has not
-// run the request.
-func TestRestOpensNoBreaker(t *testing.T) {
-	play(t, func(b *bench) {
+// A requested backoff is not a failure, even if the server doesn't report that the request
+// was not run.
+func TestBackoffOpensNoBreaker(t *testing.T) {
+	withBench(t, func(b *bench) {
 		b.engines.call = func(server string) (*Answer, error) {
-			b.says(server, backpressure.Statement{Kind: backpressure.Plain, Refused: true, Backoff: 10 * time.Millisecond})
-			return nil, errors.New("status 503 without a word on whether it ran")
+			b.reportStatus(server, backpressure.Statement{Kind: backpressure.Plain, Refused: true, Backoff: 10 * time.Millisecond})
+			return nil, errors.New("status 503 without a report of whether it ran")
 		}
 		for i := range 30 {
 			b.serve(b.plain(fmt.Sprint(i)))
@@ -147,9 +147,9 @@
 	})
 }
 
-// The list goes on saying that it is ready.
-func TestAnEngineThatSaysItLeavesGetsNoStreamWhosePromptWasRead(t *testing.T) {
-	play(t, func(b *bench) {
+// The engine reports a drain while the server list still has it as ready.
+func TestEngineThatReportsDrainDuringPrefillGetsNoStream(t *testing.T) {
+	withBench(t, func(b *bench) {
 		reserved := ""
 		b.engines.reserve = func(server string) error {
 			reserved = server
@@ -159,23 +159,23 @@
 		b.engines.prefill = func(string) error {
 			if first == "" {
 				first = reserved
-				b.says(first, backpressure.Statement{Kind: backpressure.Decode, Leaving: true})
+				b.reportStatus(first, backpressure.Statement{Kind: backpressure.Decode, Leaving: true})
 			}
 			return nil
 		}
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 200 {
-			t.Errorf("%d, %s", reply.Status, reply.Reason)
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 200 {
+			t.Errorf("status %d, reason %s", reply.Status, reply.Reason)
 		}
-		if b.did("decode "+first) != 0 || b.did("prefill") != 1 {
-			t.Errorf("%d runs where it leaves, %d prefills", b.did("decode "+first), b.did("prefill"))
+		if b.callCount("decode "+first) != 0 || b.callCount("prefill") != 1 {
+			t.Errorf("%d decodes at the draining engine, %d prefills", b.callCount("decode "+first), b.callCount("prefill"))
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-// The word may come as the run is sent.
-func TestARunThatIsWithheldGoesToAnotherEngine(t *testing.T) {
-	play(t, func(b *bench) {
+// A server's report may withhold the decode call after the engine was selected.
+func TestWithheldDecodeGoesToAnotherEngine(t *testing.T) {
+	withBench(t, func(b *bench) {
 		withheld := ""
 		b.engines.decode = func(server string, _ DecodeOrder) error {
 			if withheld == "" || withheld == server {
@@ -184,28 +184,28 @@
 			}
 			return nil
 		}
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 200 {
-			t.Errorf("%d, %s", reply.Status, reply.Reason)
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 200 {
+			t.Errorf("status %d, reason %s", reply.Status, reply.Reason)
 		}
-		if b.did("prefill") != 1 {
-			t.Errorf("%d prefills", b.did("prefill"))
+		if b.callCount("prefill") != 1 {
+			t.Errorf("%d prefills", b.callCount("prefill"))
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestStreamsMoveOffAnEngineThatSaysItLeaves(t *testing.T) {
-	play(t, func(b *bench) {
-		m := newMovers(b)
+func TestStreamsMoveOffEngineThatReportsDrain(t *testing.T) {
+	withBench(t, func(b *bench) {
+		m := newMovingBench(b)
 		time.AfterFunc(200*time.Millisecond, func() {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			b.says(m.runs[0].server, backpressure.Statement{Kind: backpressure.Decode, Leaving: true})
+			b.reportStatus(m.runs[0].server, backpressure.Statement{Kind: backpressure.Decode, Leaving: true})
 		})
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 200 {
-			t.Errorf("%d, %s", reply.Status, reply.Reason)
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 200 {
+			t.Errorf("status %d, reason %s", reply.Status, reply.Reason)
 		}
-		if ran := m.ran(); ran != "d1 d2" && ran != "d2 d1" {
+		if ran := m.engineNames(); ran != "d1 d2" && ran != "d2 d1" {
 			t.Errorf("ran at %s", ran)
 		}
 	})
--- a/forward/regions_test.go
+++ b/forward/regions_test.go
@@ -13,8 +13,8 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// spread puts p2, d2 and s2 into another zone than the others, which is in another region.
-func (b *bench) spread() {
+// splitZones moves p2, d2 and s2 to another availability zone, in another region.
+func (b *bench) splitZones() {
 	b.RegionOf = map[string]string{"z": "west", "y": "east"}
 	now := *b.View.Servers()
 	now.ByRun = maps.Clone(now.ByRun)
@@ -28,31 +28,31 @@
 			pool[1].Zone = "y"
 		}
 	}
-	b.believe(&now)
+	b.setServers(&now)
 }
 
-// bind names the regions that may serve a path.
-func (b *bench) bind(path string, regions ...string) {
+// restrictRegions sets the regions that may serve a path.
+func (b *bench) restrictRegions(path string, regions ...string) {
 	b.View.Table().Route("h", path).Regions = regions
 }
 
-// keptAway checks that nothing was sent to some servers.
-func (b *bench) keptAway(from ...string) {
+// checkNotCalled checks that some servers got no calls.
+func (b *bench) checkNotCalled(from ...string) {
 	b.t.Helper()
 	for _, id := range from {
 		for _, step := range []string{"call ", "reserve ", "prefill ", "decode ", "copy ", "stop "} {
-			if n := b.did(step + id); n != 0 {
-				b.t.Errorf("%s%s %d times", step, id, n)
+			if n := b.callCount(step + id); n != 0 {
+				b.t.Errorf("%s%s: %d calls, want 0", step, id, n)
 			}
 		}
 	}
 }
 
-func TestRequestsStayInTheirRegions(t *testing.T) {
-	play(t, func(b *bench) {
-		b.spread()
-		b.bind("/stream/", "east")
-		b.bind("/safe/", "east", "elsewhere")
+func TestRequestsStayInAllowedRegions(t *testing.T) {
+	withBench(t, func(b *bench) {
+		b.splitZones()
+		b.restrictRegions("/stream/", "east")
+		b.restrictRegions("/safe/", "east", "elsewhere")
 		for i := range 20 {
 			if reply := b.serve(b.generation("g"+string(rune('a'+i)), 1000)); reply.Status != 200 {
 				t.Errorf("status %d", reply.Status)
@@ -61,20 +61,21 @@
 				t.Errorf("status %d", reply.Status)
 			}
 		}
-		b.keptAway("p1", "d1", "s1")
-		b.nothingHeld()
+		b.checkNotCalled("p1", "d1", "s1")
+		b.checkNothingHeld()
 	})
 }
 
-// The callers may come back while the region's servers do; elsewhere they are not served.
-func TestARequestWhoseRegionsHaveNoServerIsRefusedAtOnce(t *testing.T) {
-	for name, regions := range map[string][]string{"none there": {"north"}, "none that is known": {""}} {
+// The refusal has a Retry-After, since the region's servers may return. Servers of other
+// regions are not used.
+func TestRequestIsRefusedAtOnceIfItsRegionsHaveNoServer(t *testing.T) {
+	for name, regions := range map[string][]string{"no server in region": {"north"}, "unknown region": {""}} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(b *bench) {
-				b.spread()
+			withBench(t, func(b *bench) {
+				b.splitZones()
 				b.RegionOf["z"], b.RegionOf["y"] = "west", "west"
-				b.bind("/stream/", regions...)
-				b.bind("/safe/", regions...)
+				b.restrictRegions("/stream/", regions...)
+				b.restrictRegions("/safe/", regions...)
 				for _, r := range []*Request{b.generation("g", 1000), b.plain("c")} {
 					began := time.Now()
 					reply := b.serve(r)
@@ -82,29 +83,29 @@
 						t.Errorf("%+v after %v", reply, time.Since(began))
 					}
 				}
-				b.keptAway("p1", "p2", "d1", "d2", "s1", "s2")
-				b.nothingHeld()
+				b.checkNotCalled("p1", "p2", "d1", "d2", "s1", "s2")
+				b.checkNothingHeld()
 			})
 		})
 	}
 }
 
-// A call is tried again, and a stream goes on, in its regions or not at all.
-func TestWhatIsTriedAgainStaysInItsRegions(t *testing.T) {
-	play(t, func(b *bench) {
-		b.spread()
-		b.bind("/safe/", "east")
-		b.bind("/resume/", "east")
+// A retried call and a resumed stream stay in their allowed regions.
+func TestRetriesStayInAllowedRegions(t *testing.T) {
+	withBench(t, func(b *bench) {
+		b.splitZones()
+		b.restrictRegions("/safe/", "east")
+		b.restrictRegions("/resume/", "east")
 		b.engines.call = func(string) (*Answer, error) { return &Answer{Status: 500}, nil }
 		b.serve(b.plain("c"))
-		b.keptAway("s1")
+		b.checkNotCalled("s1")
 		if b.Gateway.hasRoomBeside("d2", "llm", 1000, regions{"east": true}) || !b.Gateway.hasRoomBeside("d2", "llm", 1000, nil) {
-			t.Error("a run would be cut off for room that it may not use")
+			t.Error("memory outside of the allowed regions counts as usable")
 		}
 	})
 }
 
-func TestRouteAndTeamBothBind(t *testing.T) {
+func TestRegionsOfRouteAndTeamIntersect(t *testing.T) {
 	for _, test := range []struct{ route, team, want []string }{
 		{nil, nil, nil},
 		{[]string{"a", "b"}, nil, []string{"a", "b"}},
@@ -125,23 +126,23 @@
 	}
 }
 
-// Streams move within their regions, or stay.
-func TestAStreamMovesWithinItsRegions(t *testing.T) {
+// A stream moves only to an engine in its allowed regions.
+func TestStreamMovesOnlyWithinAllowedRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(sinceVirtualStart)
 		b := newBench(t)
-		b.spread()
+		b.splitZones()
 		g := &generation{flow: &flow{Gateway: b.Gateway, request: b.generation("g", 1000), regions: regions{"west": true}, entries: make(map[string]*registry.Entry)}}
 		g.service, g.route = b.View.Table().Services["llm"], b.View.Table().Route("h", "/stream/")
 		g.decode = &route.Rated{Candidate: route.Candidate{Backend: b.View.Servers().Decode["llm"][0], Server: b.Fleet.Server("d1")}}
 		g.decode.Name = "d1"
 		r := &relay{generation: g}
 		if to := r.destination(reason.EngineLeaving, 1000); to != nil {
-			t.Errorf("to %s, out of its regions", to.Name)
+			t.Errorf("moves to %s, outside of its regions", to.Name)
 		}
 		g.regions = nil
 		if to := r.destination(reason.EngineLeaving, 1000); to == nil || to.Name != "d2" {
-			t.Errorf("to %+v", to)
+			t.Errorf("moves to %+v, want d2", to)
 		}
 	})
 }
--- a/forward/rerun_test.go
+++ b/forward/rerun_test.go
@@ -14,13 +14,13 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// testEvents is how many events a whole stream has.
+// testEvents is the number of events in a whole stream.
 const testEvents = 5
 
 var errCrashed = errors.New("the engine crashed")
 
-// events plays a stream that begins behind an event and ends at the event last:
-// whole, with an error in the middle of the next, or in silence.
+// events is a stream of the events next to last. After these it ends with io.EOF, breaks
+// with an error in the middle of an event, or stays silent if end is nil.
 type events struct {
 	ctx  context.Context
 	next int
@@ -43,7 +43,7 @@
 	return n, nil
 }
 
-// broken is what follows the last event.
+// broken returns what follows the last event.
 func (e *events) broken(p []byte) (int, error) {
 	if e.end == nil {
 		<-e.ctx.Done()
@@ -57,14 +57,14 @@
 
 func (e *events) Close() error { return nil }
 
-// breaksOnce has the first run of a request end after some events, and later
-// ones be whole. It returns the engines that ran it.
-func (b *bench) breaksOnce(after int, end error) func() []string {
-	return b.breaks(1, after, end)
+// breakOnce makes the first run of a request break after some events, and completes later
+// ones. The returned function lists the engines that ran it.
+func (b *bench) breakOnce(after int, end error) func() []string {
+	return b.breakRuns(1, after, end)
 }
 
-// breaks has the first runs of a request end after some events each.
-func (b *bench) breaks(runs, after int, end error) func() []string {
+// breakRuns is breakOnce for the first runs of a request, each after some events.
+func (b *bench) breakRuns(runs, after int, end error) func() []string {
 	var mu sync.Mutex
 	var ran []string
 	b.engines.stream = func(ctx context.Context, server, lastEvent string) io.ReadCloser {
@@ -84,14 +84,15 @@
 	}
 }
 
-// resumable makes a request of a route whose streams may go on elsewhere.
+// resumable returns a request on the route "resume", whose streams may continue at another
+// engine.
 func (b *bench) resumable(id string) *Request {
-	r := b.generation(id, testPrompt)
+	r := b.generation(id, testPromptTokens)
 	r.Target, r.Path = "/resume/x", "/resume/x"
 	return r
 }
 
-// read takes a request to its end and returns what its caller got.
+// read serves a request, waits for the cleanup, and returns what its caller got.
 func (b *bench) read(r *Request) (*Reply, string, error) {
 	reply := b.Serve(context.Background(), r)
 	if reply.Stream == nil {
@@ -113,65 +114,65 @@
 	return text.String()
 }
 
-func TestABrokenStreamGoesOnAtAnotherEngine(t *testing.T) {
+func TestBrokenStreamContinuesAtAnotherEngine(t *testing.T) {
 	for name, test := range map[string]struct {
 		after int
 		end   error
 	}{
 		"in the middle":         {2, errCrashed},
-		"before its first":      {0, errCrashed},
-		"behind its last":       {testEvents, errCrashed},
+		"before first event":    {0, errCrashed},
+		"after last event":      {testEvents, errCrashed},
 		"silent in the middle":  {3, nil},
-		"silent from the begin": {0, nil},
+		"silent from the start": {0, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(b *bench) {
-				ran := b.breaksOnce(test.after, test.end)
+			withBench(t, func(b *bench) {
+				ran := b.breakOnce(test.after, test.end)
 				began := time.Now()
 				reply, body, err := b.read(b.resumable("a"))
 				engines := ran()
 				if err != nil || body != wholeStream() {
-					t.Fatalf("%v, %q at %v", err, body, engines)
+					t.Fatalf("error %v, body %q, ran at %v", err, body, engines)
 				}
 				if len(engines) != 2 || engines[0] == engines[1] || reply.Fields[0].Value != engines[0] {
-					t.Errorf("ran at %v, header of %v", engines, reply.Fields)
+					t.Errorf("ran at %v, header fields %v", engines, reply.Fields)
 				}
-				if took := time.Since(began); took > testPatience {
-					t.Errorf("took %v, its caller has left", took)
+				if took := time.Since(began); took > testEventTimeout {
+					t.Errorf("took %v, longer than its caller waits", took)
 				}
-				b.nothingHeld()
+				b.checkNothingHeld()
 			})
 		})
 	}
 }
 
-// testPatience is how long a caller waits for an event: the longest of two
-// seconds, four targets and eight pauses.
-const testPatience = 4 * testTarget
+// testEventTimeout is how long a caller waits for an event: the longest of two seconds,
+// four times the first-token target and eight times the target between tokens.
+const testEventTimeout = 4 * testTTFT
 
 func TestAStreamThatMayNotBeResumedEnds(t *testing.T) {
-	play(t, func(b *bench) {
-		ran := b.breaksOnce(2, errCrashed)
-		_, body, err := b.read(b.generation("a", testPrompt))
+	withBench(t, func(b *bench) {
+		ran := b.breakOnce(2, errCrashed)
+		_, body, err := b.read(b.generation("a", testPromptTokens))
 		if err == nil || strings.Count(body, "data:") != 2 || len(ran()) != 1 {
-			t.Errorf("%v, %q at %v", err, body, ran())
+			t.Errorf("error %v, body %q, ran at %v", err, body, ran())
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestSilenceAloneEndsNoStreamThatMayNotGoOnElsewhere(t *testing.T) {
-	play(t, func(b *bench) {
-		ran := b.breaksOnce(2, nil)
+func TestSilentStreamIsKeptIfNotResumable(t *testing.T) {
+	withBench(t, func(b *bench) {
+		ran := b.breakOnce(2, nil)
 		began := time.Now()
-		b.read(b.generation("a", testPrompt))
+		b.read(b.generation("a", testPromptTokens))
 		if took := time.Since(began); took < 13*time.Second || len(ran()) != 1 {
-			t.Errorf("ended after %v at %v", took, ran())
+			t.Errorf("ended after %v, ran at %v", took, ran())
 		}
 	})
 }
 
-func TestSilenceEndsNoStreamThatHasNoRoomElsewhere(t *testing.T) {
+func TestSilentStreamIsKeptIfItCannotContinueElsewhere(t *testing.T) {
 	for name, busy := range map[string]func(b *bench){
 		"memory": func(b *bench) { b.View.Servers().Decode["llm"] = b.View.Servers().Decode["llm"][:1] },
 		"budget": func(b *bench) {
@@ -180,78 +181,79 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(b *bench) {
+			withBench(t, func(b *bench) {
 				busy(b)
-				ran := b.breaksOnce(2, nil)
+				ran := b.breakOnce(2, nil)
 				began := time.Now()
 				r := b.resumable("a")
 				r.Deadline = began.Add(3 * time.Second)
 				b.read(r)
 				if took := time.Since(began); took < 2900*time.Millisecond || len(ran()) != 1 {
-					t.Errorf("ended after %v at %v", took, ran())
+					t.Errorf("ended after %v, ran at %v", took, ran())
 				}
-				b.nothingHeld()
+				b.checkNothingHeld()
 			})
 		})
 	}
 }
 
 func TestAStreamRunsAtNoMoreEnginesThanItsRouteAllows(t *testing.T) {
-	play(t, func(b *bench) {
-		ran := b.breaks(5, 1, errCrashed)
+	withBench(t, func(b *bench) {
+		ran := b.breakRuns(5, 1, errCrashed)
 		_, body, err := b.read(b.resumable("a"))
 		if err == nil || strings.Count(body, "data:") != 2 || len(ran()) != 2 {
-			t.Errorf("%v, %q at %v", err, body, ran())
+			t.Errorf("error %v, body %q, ran at %v", err, body, ran())
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestWithoutBudgetABrokenStreamEnds(t *testing.T) {
-	play(t, func(b *bench) {
+func TestBrokenStreamEndsWithoutRetryBudget(t *testing.T) {
+	withBench(t, func(b *bench) {
 		for b.Budget("llm").Spend(time.Now()) {
 		}
-		ran := b.breaksOnce(2, errCrashed)
+		ran := b.breakOnce(2, errCrashed)
 		if _, _, err := b.read(b.resumable("a")); err == nil || len(ran()) != 1 {
-			t.Errorf("%v at %v", err, ran())
+			t.Errorf("error %v, ran at %v", err, ran())
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestWithNoRoomElsewhereABrokenStreamEnds(t *testing.T) {
-	play(t, func(b *bench) {
+func TestBrokenStreamEndsWithoutOtherEngine(t *testing.T) {
+	withBench(t, func(b *bench) {
 		b.View.Servers().Decode["llm"] = b.View.Servers().Decode["llm"][:1]
-		ran := b.breaksOnce(2, errCrashed)
+		ran := b.breakOnce(2, errCrashed)
 		if _, _, err := b.read(b.resumable("a")); err == nil || len(ran()) != 1 {
-			t.Errorf("%v at %v", err, ran())
+			t.Errorf("error %v, ran at %v", err, ran())
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-// The other engine's own failure is no end of the first one's answer.
-func TestAFailureOfTheOtherEngineDoesNotEndTheStreamWhole(t *testing.T) {
-	play(t, func(b *bench) {
-		ran := b.breaksOnce(2, errCrashed)
+// An error status of the second engine must not look like the end of the answer that the
+// first engine began.
+func TestFailureOfSecondEngineEndsStreamWithError(t *testing.T) {
+	withBench(t, func(b *bench) {
+		ran := b.breakOnce(2, errCrashed)
 		b.engines.statusOf = func(string) int {
-			if b.did("decode") > 1 {
+			if b.callCount("decode") > 1 {
 				return 500
 			}
 			return 200
 		}
 		_, body, err := b.read(b.resumable("a"))
 		if err == nil || strings.Count(body, "data:") != 2 || len(ran()) != 2 {
-			t.Errorf("%v, %q at %v", err, body, ran())
+			t.Errorf("error %v, body %q, ran at %v", err, body, ran())
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-// A run that was lost before its answer began is made up for likewise; the
-// request may have run, so without another run nothing is promised.
-func TestARunLostBeforeItsBeginGoesOnAtAnotherEngine(t *testing.T) {
-	play(t, func(b *bench) {
+// A run that is lost before its answer began is repeated at another engine. If the stream
+// is not resumable, the request may have run, so the reply has no Retry-After.
+func TestRunLostBeforeItsAnswerContinuesAtAnotherEngine(t *testing.T) {
+	withBench(t, func(b *bench) {
 		first := ""
 		b.engines.decode = func(server string, _ DecodeOrder) error {
 			if first == "" || first == server {
@@ -261,17 +263,17 @@
 			return nil
 		}
 		if reply, body, err := b.read(b.resumable("a")); reply.Status != 200 || err != nil || body == "" {
-			t.Errorf("status %d, %v after %v", reply.Status, err, b.engines.calls)
+			t.Errorf("status %d, error %v after %v", reply.Status, err, b.engines.calls)
 		}
 		first = ""
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 502 || reply.RetryAfter != 0 {
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 502 || reply.RetryAfter != 0 {
 			t.Errorf("not resumable: status %d", reply.Status)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestTheLastIDOfWholeEvents(t *testing.T) {
+func TestLastIDOfCompleteEvents(t *testing.T) {
 	for _, test := range []struct{ whole, before, want string }{
 		{"", "4", "4"},
 		{"data: x\n\n", "", ""},
--- a/forward/restarted_test.go
+++ b/forward/restarted_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// restart has another run of a server take the place of the one known.
+// restart replaces the known run of a server with a new one, as a restart of its process
+// does.
 func (b *bench) restart(id string) {
 	before := b.View.Servers()
 	entry := *before.ByRun[id]
@@ -16,11 +17,11 @@
 	delete(after.ByRun, id)
 	after.ByRun[entry.Run()] = &entry
 	after.ByID[id] = &entry
-	b.believe(&after)
+	b.setServers(&after)
 }
 
-// reserved is the engine at which the request at hand reserved memory first.
-func (b *bench) reserved() string {
+// firstReserved returns the engine that got the first call for a reservation.
+func (b *bench) firstReserved() string {
 	for _, call := range b.engines.calls {
 		if server, ok := strings.CutPrefix(call, "reserve "); ok {
 			return server
@@ -29,69 +30,69 @@
 	return ""
 }
 
-// What a run had read is lost with it, and what the next one reads may bear the
-// same name: the decode engine reads the prompt itself.
-func TestAResultOfARunBeforeIsNotUsed(t *testing.T) {
-	play(t, func(b *bench) {
+// A prefill result is lost with its engine's run, and the next run may give the same name
+// to another result. The decode engine must prefill the prompt itself.
+func TestPrefillResultOfPreviousRunIsNotUsed(t *testing.T) {
+	withBench(t, func(b *bench) {
 		b.engines.prefill = func(server string) error {
 			b.restart(server)
 			return nil
 		}
 		b.engines.decode = func(_ string, order DecodeOrder) error {
 			if order.Source != nil || order.Result != "" || order.Reservation == "" {
-				t.Errorf("went on with %+v", order)
+				t.Errorf("decode with %+v", order)
 			}
 			return nil
 		}
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 200 || b.did("decode") != 1 {
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 200 || b.callCount("decode") != 1 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
-		b.nothingHeldAtLivingRuns()
+		b.checkNothingHeldAtLiveRuns()
 	})
 }
 
-// A reservation of a run that has ended is no reservation.
-func TestAReservationOfARunBeforeIsNotUsed(t *testing.T) {
-	play(t, func(b *bench) {
+// A reservation is lost with its engine's run and must not be used at the next run.
+func TestReservationOfPreviousRunIsNotUsed(t *testing.T) {
+	withBench(t, func(b *bench) {
 		first := ""
 		b.engines.prefill = func(string) error {
-			first = b.reserved()
+			first = b.firstReserved()
 			b.restart(first)
 			return nil
 		}
 		b.engines.decode = func(server string, order DecodeOrder) error {
 			if server == first || order.Reservation != Reservation("r-"+server) {
-				t.Errorf("went on at %s with %+v", server, order)
+				t.Errorf("decode at %s with %+v", server, order)
 			}
 			return nil
 		}
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 200 || first == "" || b.did("release "+first) != 0 {
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 200 || first == "" || b.callCount("release "+first) != 0 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
 	})
 }
 
-func TestWithoutBudgetALostResultEndsTheRequestTruly(t *testing.T) {
-	play(t, func(b *bench) {
+func TestLostPrefillResultWithoutRetryBudgetEndsRequest(t *testing.T) {
+	withBench(t, func(b *bench) {
 		for b.Budget("llm").Spend(b.generation("", 0).Arrived) {
 		}
 		b.engines.prefill = func(server string) error {
 			b.restart(server)
 			return nil
 		}
-		if reply := b.serve(b.generation("a", testPrompt)); reply.Status != 503 || b.did("decode")+b.did("free") != 0 {
+		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 503 || b.callCount("decode")+b.callCount("free") != 0 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
 	})
 }
 
-// nothingHeldAtLivingRuns checks that no note of a request is left over at the servers that
-// are still of the same run.
-func (b *bench) nothingHeldAtLivingRuns() {
+// checkNothingHeldAtLiveRuns checks that no requests are in flight at the servers that were
+// not restarted.
+func (b *bench) checkNothingHeldAtLiveRuns() {
 	b.t.Helper()
 	for run := range b.View.Servers().ByRun {
 		if server := b.Fleet.Server(run); server != nil && server.Own().InFlight != 0 {
-			b.t.Errorf("left over at %s: %+v", run, server.Own())
+			b.t.Errorf("commitment left at %s: %+v", run, server.Own())
 		}
 	}
 }
--- a/forward/suspect_test.go
+++ b/forward/suspect_test.go
@@ -16,22 +16,22 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// errCrash is how a connection ends whose server crashes.
-var errCrash = errors.New("connection reset")
+// errConnectionReset is the error of a connection to a server that crashes.
+var errConnectionReset = errors.New("connection reset")
 
-// end has a server end: nobody listens at its address any more.
-func (e *engines) end(server string) {
+// crash makes a server's process exit, so that nothing listens at its address.
+func (e *engines) crash(server string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.ended == nil {
-		e.ended = make(map[string]bool)
+	if e.crashed == nil {
+		e.crashed = make(map[string]bool)
 	}
-	e.ended[server] = true
+	e.crashed[server] = true
 }
 
-// startAgain has all servers start again under their ids.
-func (b *bench) startAgain(born int64) {
-	b.engines.ended = nil
+// restartAll restarts all servers under their ids.
+func (b *bench) restartAll(born int64) {
+	b.engines.crashed = nil
 	b.engines.calls = nil
 	before := b.View.Servers()
 	next := &Servers{ByRun: map[string]*registry.Entry{}, ByID: map[string]*registry.Entry{}}
@@ -53,15 +53,15 @@
 	}
 	next.Plain, next.Prefill, next.Decode = again(before.Plain), again(before.Prefill), again(before.Decode)
 	b.Fleet.Adopt(&table.View{Backends: backends})
-	b.believe(next)
+	b.setServers(next)
 }
 
-// crashed has the request of a test end so many servers, elsewhere.
-func (b *bench) crashed(r *Request, servers int) {
+// recordCrashes records that other servers crashed while they ran a test's request.
+func (b *bench) recordCrashes(r *Request, servers int) {
 	f := &flow{request: r}
 	for i := range servers {
 		server := fmt.Sprint(f.fingerprints().OfCaller, "-", i)
-		// One that began before the end before would not count.
+		// A run that began before the previous crash would not count.
 		at := time.Now().Add(-time.Duration(servers-i) * time.Second)
 		b.Poison.Broke(server, f.fingerprints(), at, at)
 		b.Poison.Crashed(server, at)
@@ -69,72 +69,72 @@
 }
 
 func TestARequestThatCrashesServersIsRefusedAtOnce(t *testing.T) {
-	play(t, func(b *bench) {
-		for _, r := range []*Request{b.plain("a"), b.generation("b", testPrompt)} {
-			b.crashed(r, 3)
+	withBench(t, func(b *bench) {
+		for _, r := range []*Request{b.plain("a"), b.generation("b", testPromptTokens)} {
+			b.recordCrashes(r, 3)
 			r.ID += "-again"
 			reply := b.serve(r)
 			if reply.Status != 502 || reply.Reason != reason.CrashesServers || reply.RetryAfter != 0 {
-				t.Errorf("status %d for %q, back after %v", reply.Status, reply.Reason, reply.RetryAfter)
+				t.Errorf("status %d, reason %q, retry after %v", reply.Status, reply.Reason, reply.RetryAfter)
 			}
 		}
 		if len(b.engines.calls) > 0 {
-			t.Errorf("servers were asked: %v", b.engines.calls)
+			t.Errorf("servers were called: %v", b.engines.calls)
 		}
-		// Another caller's request is another one.
+		// The same request of another caller has its own fingerprints.
 		other := b.plain("c")
 		other.Caller = "10.0.0.9"
 		if reply := b.serve(other); reply.Status != 200 {
-			t.Errorf("another caller gets %d", reply.Status)
+			t.Errorf("another caller: status %d", reply.Status)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
 func TestACallIsSentToAnotherServerOnceAfterACrash(t *testing.T) {
-	play(t, func(b *bench) {
+	withBench(t, func(b *bench) {
 		b.engines.call = func(server string) (*Answer, error) {
-			b.engines.end(server)
-			return nil, errCrash
+			b.engines.crash(server)
+			return nil, errConnectionReset
 		}
-		// Two servers end within the first attempt, which its route allows.
+		// The first attempt crashes two servers, as many as the route's attempts allow.
 		reply := b.serve(b.plain("a"))
-		if reply.Status != 502 || b.did("call") != 2 {
+		if reply.Status != 502 || b.callCount("call") != 2 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
-		// The next is a probe, and ends one more.
-		b.startAgain(1)
-		if b.serve(b.plain("b")); b.did("call") != 1 {
+		// The second attempt is a probe, which crashes one more.
+		b.restartAll(1)
+		if b.serve(b.plain("b")); b.callCount("call") != 1 {
 			t.Errorf("the second attempt: %v", b.engines.calls)
 		}
-		b.startAgain(2)
+		b.restartAll(2)
 		if reply := b.serve(b.plain("c")); len(b.engines.calls) > 0 || reply.Status != 502 {
 			t.Errorf("the third attempt: status %d after %v", reply.Status, b.engines.calls)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
-func TestABrokenAnswerOfASoundServerBlamesNobody(t *testing.T) {
-	play(t, func(b *bench) {
-		b.engines.call = func(string) (*Answer, error) { return nil, errCrash }
+func TestLostAnswerOfRunningServerMakesNoRequestSuspect(t *testing.T) {
+	withBench(t, func(b *bench) {
+		b.engines.call = func(string) (*Answer, error) { return nil, errConnectionReset }
 		for i := range 5 {
 			b.serve(b.plain(fmt.Sprint(i)))
 		}
 		if state := b.Poison.State((&flow{request: b.plain("x")}).fingerprints()); state != poison.Clear {
-			t.Errorf("it is %s", state)
+			t.Errorf("the request is %s", state)
 		}
 	})
 }
 
-func TestAStreamGoesOnAtOneMoreEngineOnly(t *testing.T) {
-	play(t, func(b *bench) {
+func TestStreamContinuesAtOneOtherEngineAfterCrash(t *testing.T) {
+	withBench(t, func(b *bench) {
 		b.engines.stream = func(_ context.Context, server, _ string) io.ReadCloser {
-			b.engines.end(server)
-			return io.NopCloser(io.MultiReader(strings.NewReader("id: 1\ndata: x\n\n"), failing{errCrash}))
+			b.engines.crash(server)
+			return io.NopCloser(io.MultiReader(strings.NewReader("id: 1\ndata: x\n\n"), failing{errConnectionReset}))
 		}
 		attempt := func(id string) {
-			r := b.generation(id, testPrompt)
+			r := b.generation(id, testPromptTokens)
 			r.Target, r.Path = "/resume/x", "/resume/x"
 			reply := b.Serve(context.Background(), r)
 			if reply.Stream != nil {
@@ -144,20 +144,20 @@
 			b.Wait()
 		}
 		attempt("a")
-		if b.did("decode") != 2 {
+		if b.callCount("decode") != 2 {
 			t.Errorf("the first attempt: %v", b.engines.calls)
 		}
-		b.startAgain(1)
+		b.restartAll(1)
 		attempt("b")
-		if b.did("decode") != 1 {
+		if b.callCount("decode") != 1 {
 			t.Errorf("the second attempt: %v", b.engines.calls)
 		}
-		b.startAgain(2)
+		b.restartAll(2)
 		attempt("c")
 		if len(b.engines.calls) > 0 {
 			t.Errorf("the third attempt: %v", b.engines.calls)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
 
@@ -166,37 +166,37 @@
 
 func (f failing) Read([]byte) (int, error) { return 0, f.err }
 
-func TestAProbeGoesWhereTheFewestAreLost(t *testing.T) {
-	play(t, func(b *bench) {
+func TestProbeGoesToServerWithFewestRequests(t *testing.T) {
+	withBench(t, func(b *bench) {
 		defer b.Fleet.Server("s1").Begin(0)()
 		r := b.plain("a")
-		b.crashed(r, 2)
+		b.recordCrashes(r, 2)
 		for range 10 {
 			if reply := b.serve(r); reply.Status != 200 {
 				t.Errorf("status %d", reply.Status)
 			}
-			b.crashed(r, 2)
+			b.recordCrashes(r, 2)
 		}
-		if b.did("call s1") > 0 {
-			t.Errorf("it ran beside others: %v", b.engines.calls)
+		if b.callCount("call s1") > 0 {
+			t.Errorf("the probe ran beside another request: %v", b.engines.calls)
 		}
 	})
 }
 
 func TestOnlyOneProbeRunsAtATime(t *testing.T) {
-	play(t, func(b *bench) {
+	withBench(t, func(b *bench) {
 		b.engines.call = func(string) (*Answer, error) {
 			time.Sleep(100 * time.Millisecond)
 			return &Answer{Status: 200}, nil
 		}
 		r := b.plain("a")
-		b.crashed(r, 2)
+		b.recordCrashes(r, 2)
 		first := make(chan *Reply)
 		go func() { first <- b.Serve(context.Background(), r) }()
 		time.Sleep(50 * time.Millisecond)
-		// It has not run, and its caller may come back.
+		// The second request has not run, and its caller may retry.
 		if second := b.serve(r); second.Status != 503 || second.RetryAfter == 0 || second.Reason != reason.ProbeUnderWay {
-			t.Errorf("beside a probe: status %d for %q", second.Status, second.Reason)
+			t.Errorf("during a probe: status %d, reason %q", second.Status, second.Reason)
 		}
 		if got := <-first; got.Status != 200 {
 			t.Errorf("the probe: status %d", got.Status)
@@ -207,28 +207,28 @@
 	})
 }
 
-// A request may be found to crash servers while another attempt of it is under way.
-func TestAnAttemptUnderWayIsNotSentOnceItsRequestIsBlocked(t *testing.T) {
-	play(t, func(b *bench) {
-		r := b.generation("a", testPrompt)
+// A request may be blocked for crashing servers while another attempt of it is in progress.
+func TestRunningAttemptStopsOnceItsRequestIsBlocked(t *testing.T) {
+	withBench(t, func(b *bench) {
+		r := b.generation("a", testPromptTokens)
 		b.engines.reserve = func(string) error {
-			b.crashed(r, 3)
+			b.recordCrashes(r, 3)
 			return nil
 		}
-		if reply := b.serve(r); reply.Status != 502 || b.did("prefill") > 0 || b.did("decode") > 0 {
-			t.Errorf("blocked before its prompt was read: status %d after %v", reply.Status, b.engines.calls)
+		if reply := b.serve(r); reply.Status != 502 || b.callCount("prefill") > 0 || b.callCount("decode") > 0 {
+			t.Errorf("blocked before its prefill: status %d after %v", reply.Status, b.engines.calls)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
-	play(t, func(b *bench) {
-		r := b.generation("a", testPrompt)
+	withBench(t, func(b *bench) {
+		r := b.generation("a", testPromptTokens)
 		b.engines.prefill = func(string) error {
-			b.crashed(r, 3)
+			b.recordCrashes(r, 3)
 			return nil
 		}
-		if reply := b.serve(r); reply.Status != 502 || b.did("decode") > 0 {
-			t.Errorf("blocked after its prompt was read: status %d after %v", reply.Status, b.engines.calls)
+		if reply := b.serve(r); reply.Status != 502 || b.callCount("decode") > 0 {
+			t.Errorf("blocked after its prefill: status %d after %v", reply.Status, b.engines.calls)
 		}
-		b.nothingHeld()
+		b.checkNothingHeld()
 	})
 }
