--- a/forward/crowd_engines_test.go
+++ b/forward/crowd_engines_test.go
@@ -97,7 +97,7 @@
 	if e.stalled.After(from) {
 		from = e.stalled
 	}
-	e.stalled = from.Add(time.Duration(float64(tokens) / (readPerMilli / decodeReadsSlower) * float64(time.Millisecond)))
+	e.stalled = from.Add(time.Duration(float64(tokens) / (readPerMilli / decodeReadFactor) * float64(time.Millisecond)))
 }
 
 // grow takes the memory of one event; the newest run that its reservation does not
--- a/forward/decision.go
+++ b/forward/decision.go
@@ -14,24 +14,25 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// decision is one step that was decided for a request, with what decided it.
+// decision is one decided step of a request, with the inputs of the decision.
 type decision struct {
 	at   time.Time
 	step string
-	// outcome is what was decided.
+	// outcome is the result of the step.
 	outcome string
 	inputs  []any
-	// rated is what a choice of server saw; nil for other steps.
+	// rated holds the rated candidates of a server choice; nil for other steps.
 	rated []route.Rated
-	// by is the picture of the servers that it was made by.
-	by *Servers
-	// age is how long before it the newest picture was last known to be current.
-	age time.Duration
-	// newest is the position of the newest picture that the instance had then.
+	// servers is the view of the servers that the decision used.
+	servers *Servers
+	// viewAge is the time from the moment the view was last known to be current until the
+	// decision.
+	viewAge time.Duration
+	// newest is the position of the instance's newest view at that moment.
 	newest oplog.Position
 }
 
-// Steps of a request, as they stand in the log.
+// Steps of a request, as they appear in the log.
 const (
 	stepAdmit    = "admit"
 	stepAllot    = "allot"
@@ -46,20 +47,20 @@
 	stepMove     = "move"
 )
 
-// decide notes a step for the request's log lines.
-func (f *flow) decide(step, outcome string, inputs ...any) {
-	f.note(decision{at: clock.Now(), step: step, outcome: outcome, inputs: inputs})
+// record adds a step to the request's log lines.
+func (f *flow) record(step, outcome string, inputs ...any) {
+	f.recordDecision(decision{at: clock.Now(), step: step, outcome: outcome, inputs: inputs})
 }
 
-// note keeps a decision with the picture of the servers that it was made by.
-func (f *flow) note(made decision) {
-	made.by = f.servers
-	made.age = made.at.Sub(f.View.Confirmed())
+// recordDecision adds a decision together with the view of the servers that it used.
+func (f *flow) recordDecision(made decision) {
+	made.servers = f.servers
+	made.viewAge = made.at.Sub(f.View.Confirmed())
 	made.newest = f.View.Servers().Position
 	f.decisions = append(f.decisions, made)
 }
 
-// resultOf is the outcome of a step that a server answered.
+// resultOf returns the outcome of a step that called a server.
 func resultOf(err error) string {
 	if err == nil {
 		return "ok"
@@ -67,25 +68,25 @@
 	return err.Error()
 }
 
-// logOneIn is how many served requests stand for one in the log. Requests that
-// were not served are all logged, up to the limit of lines.
+// logOneIn is the sampling of served requests in the log: one in logOneIn is logged. All
+// requests that were not served are logged, up to the limit of lines.
 const logOneIn = 50
 
-// logged says whether a request is written to the log.
-func (f *flow) logged(outcome reason.Outcome) bool {
-	if outcome == reason.Done && !bool(klog.V(logServed).Enabled()) && xxhash.Sum64String(f.request.ID)%logOneIn != 0 {
+// shouldLog reports whether the request is written to the log.
+func (f *flow) shouldLog(outcome reason.Outcome) bool {
+	if outcome == reason.Done && !bool(klog.V(logServedVerbosity).Enabled()) && xxhash.Sum64String(f.request.ID)%logOneIn != 0 {
 		return false
 	}
-	if f.lines.Allow(clock.Now()) {
+	if f.logLimit.Allow(clock.Now()) {
 		return true
 	}
 	f.Metrics.Withheld()
 	return false
 }
 
-// log writes a line for each decision of a request, and one for its end.
+// log writes one line for each decision of the request and one for its end.
 func (f *flow) log(service string, outcome reason.Outcome, status int, why reason.Reason, detail string) {
-	if !f.logged(outcome) {
+	if !f.shouldLog(outcome) {
 		return
 	}
 	for i := range f.decisions {
@@ -93,7 +94,7 @@
 	}
 	fields := []any{
 		"request", f.request.ID, "service", service, "outcome", outcome, "status", status, "reason", why,
-		"servers", f.path, "tookMillis", clock.Since(f.request.Arrived).Milliseconds(),
+		"servers", f.sentTo, "tookMillis", clock.Since(f.request.Arrived).Milliseconds(),
 	}
 	if f.route != nil {
 		fields = append(fields, "route", f.route.Name)
@@ -118,16 +119,16 @@
 	}
 	fields = append(fields, d.inputs...)
 	if d.rated != nil {
-		fields = append(fields, "candidates", candidates(d.rated))
+		fields = append(fields, "candidates", formatCandidates(d.rated))
 	}
-	fields = append(fields, "revision", f.revision, "listPosition", d.by.Position, "listNewest", d.newest,
-		"listAgeMillis", d.age.Milliseconds())
+	fields = append(fields, "revision", f.revision, "listPosition", d.servers.Position, "listNewest", d.newest,
+		"listAgeMillis", d.viewAge.Milliseconds())
 	klog.InfoS("Decided", fields...)
 }
 
-// candidates writes what a choice saw: each server with its score, or with the
+// formatCandidates formats the candidates of a choice: each server with its score, or with the
 // filter that dropped it.
-func candidates(rated []route.Rated) string {
+func formatCandidates(rated []route.Rated) string {
 	var text strings.Builder
 	for i, one := range rated {
 		if i > 0 {
--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -17,23 +17,23 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// View is what requests are decided by: immutable values behind atomic
+// View provides the data that requests are decided by, as immutable values behind atomic
 // pointers.
 type View interface {
-	// Table returns the table in force; nil before there is one.
+	// Table returns the table in force; nil before the first one.
 	Table() *table.View
-	// Servers returns the registered backend servers with the table rows made
-	// of them.
+	// Servers returns the registered backend servers, with the table rows that describe them.
 	Servers() *Servers
-	// Confirmed returns when the picture was last known to be current.
+	// Confirmed returns when the view of the servers was last known to be current.
 	Confirmed() time.Time
 }
 
-// Servers is an immutable picture of the backend servers, by service.
+// Servers is an immutable view of the backend servers, by service.
 type Servers struct {
-	// Position is the place in the log up to which changes are in the picture.
+	// Position is the log position up to which changes are included.
 	Position oplog.Position
-	// ByRun holds each server by the name of its run, ByID by its own.
+	// ByRun holds each server by the name of its run, which is one start of the server's
+	// process. ByID holds each server by its id.
 	ByRun   map[string]*registry.Entry
 	ByID    map[string]*registry.Entry
 	Plain   map[string][]*table.BackendView
@@ -41,73 +41,74 @@
 	Decode  map[string][]*table.BackendView
 }
 
-// Restarted says whether another run of a server has taken the place of the one
-// that an entry names.
+// Restarted reports whether a newer run of a server has replaced the run of the entry.
 func (s *Servers) Restarted(entry *registry.Entry) bool {
 	now := s.ByID[entry.ID]
 	return now != nil && now.Run() != entry.Run()
 }
 
-// Config bounds what one request may take.
+// Config holds the limits and timing of forwarding.
 type Config struct {
-	// ReserveTimeout bounds one question for a reservation. It must outlast a
-	// round trip between zones and the opening of a connection; longer delays
-	// requests behind an engine that is gone.
+	// ReserveTimeout bounds one reservation request. It must be longer than a round trip
+	// between zones plus the setup of a connection. A longer timeout delays requests when an
+	// engine is gone.
 	ReserveTimeout time.Duration
-	// ReserveTries bounds the engines that are asked in turn. More find the
-	// last free memory; each costs a round trip of a few milliseconds.
+	// ReserveTries bounds the number of engines that are tried in turn. More tries find the
+	// last free memory, and each costs a round trip of a few milliseconds.
 	ReserveTries int
-	// ReservePause is the pause before the engines are asked again. Shorter
-	// finds freed memory sooner; each question is a round trip.
+	// ReservePause is the pause before the engines are tried again. A shorter pause finds
+	// freed memory sooner, and each try costs a round trip.
 	ReservePause time.Duration
-	// CleanupTimeout bounds giving back what a request had taken.
+	// CleanupTimeout bounds the release of the resources of one request.
 	CleanupTimeout time.Duration
-	// RefuseWithin is the part of the first-token target within which a
-	// request that cannot be served must be refused for its caller to lose
-	// least (source: the users' rules, a quarter).
+	// RefuseWithin is the fraction of the first-token target within which a request that
+	// cannot be served must be refused for its caller to lose least (source: the users' rules,
+	// a quarter).
 	RefuseWithin float64
-	// RetryEarliest and RetryLatest bound when a refused caller should come
-	// back, as parts of the time that it has left. Callers honour a third at
-	// most (source: the users' protocol). The moment is drawn at random between
-	// them, so that callers who were refused together do not return together;
-	// later ones find the burst over that had them refused.
+	// RetryEarliest and RetryLatest bound the delay after which a refused caller should come
+	// back, as fractions of the time that it has left. Callers honour a third at most (source:
+	// the users' protocol). The delay is drawn at random between them, so that callers that
+	// were refused together do not return together. Later callers find that the burst that
+	// caused the refusals is over.
 	RetryEarliest float64
 	RetryLatest   float64
-	// LandingMargin is kept between the expected first token and its target,
-	// for transfer and first step.
+	// LandingMargin is the time kept between the expected first token and its target, for the
+	// transfer and the first decode step.
 	LandingMargin time.Duration
-	// LastCalls is how long before the end of a graceful shutdown plain
-	// requests are no longer taken; longer than nearly all take.
+	// LastCalls is how long before the end of a graceful shutdown plain requests are no longer
+	// accepted. Nearly all plain requests take less time.
 	LastCalls time.Duration
-	// RetryElsewhere is when a caller should come back that a stopping instance
-	// refuses: at once, since the others serve.
+	// RetryElsewhere is the retry delay for callers that a stopping instance refuses. It is
+	// short because other instances can serve them at once.
 	RetryElsewhere time.Duration
-	// StreamGrace is how long after the begin of a graceful shutdown streams
-	// are still taken; later ones might not end before the instance does.
+	// StreamGrace is how long after the start of a graceful shutdown streams are still
+	// accepted. Later streams might not end before the instance does.
 	StreamGrace time.Duration
-	// HintMargin is the part of the tokens expected to be generated for which
-	// memory is reserved. With less, requests outgrow their reservation and are
-	// preempted; with more, less is left for others.
+	// HintMargin is the fraction of the tokens expected to be generated for which memory is
+	// reserved. With less, requests outgrow their reservation and are preempted. With more,
+	// less memory is left for others.
 	HintMargin float64
-	// TeamYield is how much more of an engine's memory the requests of a team leave free
-	// that has used up its allotment, as a part of what all leave free. More keeps room for
-	// teams that ask for little beside a hot one; it turns away more of the hot one's.
+	// TeamYield is how much more of an engine's memory the requests of a team leave free once
+	// the team has used up its allotment, as a fraction of what all requests leave free. A
+	// larger value keeps room for teams that send little next to a busy team, and refuses more
+	// requests of the busy team.
 	TeamYield float64
-	// LateReading is how long after the first token's target a prefill may
-	// still end; a late stream is worth something to its caller.
+	// LateReading is how long after the first-token target a prefill may still end. A late
+	// stream still has value for its caller.
 	LateReading time.Duration
-	// HandleMargin is how long before a prefill's result lapses it is no longer
-	// handed to another engine: a reservation and the transfer take that long.
+	// HandleMargin is how long before a prefill result expires it is no longer handed to
+	// another engine. A reservation and the transfer take that long.
 	HandleMargin time.Duration
-	// EventPause stands in for the usual pause between two events of a stream
-	// until some were seen (source: the users' sheets, 64 tokens of 0.8 ms).
+	// EventPause is the assumed pause between two events of a stream until pauses have been
+	// observed (source: the users' sheets, 64 tokens of 0.8 ms).
 	EventPause time.Duration
-	// AllotmentSpread is over how long callers return whose team has used what it may,
-	// beyond when it will have something left. The table's allotments are a second's.
+	// AllotmentSpread is the interval over which callers of a team that is over its allotment
+	// come back, after the time when the team has balance again. The table states allotments
+	// per second.
 	AllotmentSpread time.Duration
 }
 
-// DefaultConfig suits the sizes of the users' sheets.
+// DefaultConfig returns values that suit the sizes in the users' sheets.
 func DefaultConfig() Config {
 	return Config{
 		ReserveTimeout: 150 * time.Millisecond,
@@ -131,7 +132,7 @@
 	}
 }
 
-// Deps is what a Gateway works with.
+// Deps holds the dependencies of a Gateway.
 type Deps struct {
 	Zone string
 	// RegionOf is the region of each availability zone.
@@ -142,9 +143,9 @@
 	// Budget returns the retry budget of a service.
 	Budget  func(service string) *route.SharedBudget
 	Metrics *metrics.Set
-	// Allotments bounds what teams use.
+	// Allotments enforces the allotments of teams.
 	Allotments Allotments
-	// Poison remembers which requests ran at servers when these ended.
+	// Poison records which requests were running at servers that crashed.
 	Poison *poison.Tracker
 	// Random returns a number in [0,1).
 	Random func() float64
@@ -156,27 +157,27 @@
 	config  Config
 	prefill *route.Profile
 	decode  *route.Profile
-	// readingDecode chooses decode engines that are to read the prompt too.
+	// readingDecode chooses decode engines that are also to read the prompt.
 	readingDecode *route.Profile
 	plain         *route.Profile
 	inFlight      atomic.Int64
 	// stopping is set once a graceful shutdown has begun.
 	stopping atomic.Pointer[shutdown]
-	// lines bounds how many requests are logged.
-	lines *logging.Limit
-	// lengths is what callers' guesses at the length of answers are worth, a
-	// *route.Lengths for each service's name.
+	// logLimit bounds how many requests are logged.
+	logLimit *logging.Limit
+	// lengths holds a *route.Lengths for each service name: the corrected estimates of answer
+	// lengths.
 	lengths sync.Map
-	// sizes is what requests need, a *route.Sizes for each service's name.
+	// sizes holds a *route.Sizes for each service name: the memory that requests need.
 	sizes sync.Map
-	// pauses is how long streams pause, a *pauses for each service's name.
+	// pauses holds a *pauses for each service name: the pauses between events of streams.
 	pauses sync.Map
-	// cleanups waits for what outlives its request.
+	// cleanups counts the tasks that outlive their request.
 	cleanups sync.WaitGroup
 }
 
-// Requests that are logged: enough for every refusal of a burst at the users'
-// sizes, some five lines each, and a few hundred kilobytes a second at most.
+// Limits on logged requests. They allow every refusal of a burst at the users' sizes, with
+// some five lines each, and write a few hundred kilobytes a second at most.
 const (
 	logPerSecond = 60
 	logBurst     = 300
@@ -191,56 +192,55 @@
 		decode:        route.ForwardDecode(),
 		readingDecode: route.ForwardReadingDecode(),
 		plain:         route.ForwardPlain(),
-		lines:         logging.NewLimit(logPerSecond, logBurst, clock.Now()),
+		logLimit:      logging.NewLimit(logPerSecond, logBurst, clock.Now()),
 	}
 }
 
-// InFlight counts the requests that are being forwarded.
+// InFlight returns the number of requests that are being forwarded.
 func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
-// shutdown is a graceful shutdown.
+// shutdown holds the times of a graceful shutdown.
 type shutdown struct{ began, ends time.Time }
 
-// lengthsOf returns what guesses are worth for a service.
+// lengthsOf returns the estimates of answer lengths for a service.
 func (g *Gateway) lengthsOf(service string) *route.Lengths {
 	known, _ := g.lengths.LoadOrStore(service, new(route.Lengths))
 	return known.(*route.Lengths)
 }
 
-// sizesOf returns what requests of a service need.
+// sizesOf returns the sizes of a service's requests.
 func (g *Gateway) sizesOf(service string) *route.Sizes {
 	known, _ := g.sizes.LoadOrStore(service, new(route.Sizes))
 	return known.(*route.Sizes)
 }
 
-// pauses is how long the streams of a service pause between two events.
+// pauses holds the pauses between two events of a service's streams.
 type pauses struct {
 	usual route.Pauses
-	// reading is the same while the decode engine reads a prompt.
+	// reading holds the pauses that occur while the decode engine reads a prompt.
 	reading route.Pauses
 }
 
-// pausesOf returns how long streams of a service pause.
+// pausesOf returns the pauses of a service's streams.
 func (g *Gateway) pausesOf(service string) *pauses {
 	known, _ := g.pauses.LoadOrStore(service, new(pauses))
 	return known.(*pauses)
 }
 
-// FreeMemory estimates the KV memory of all decode engines that nobody needs,
-// in tokens.
+// FreeMemory estimates the unneeded KV memory of all decode engines, in tokens.
 func (g *Gateway) FreeMemory() int {
 	free := 0
 	for _, pool := range g.View.Servers().Decode {
 		for _, backend := range pool {
-			free += g.freeAt(backend)
+			free += g.freeMemoryAt(backend)
 		}
 	}
 	return free
 }
 
-// freeAt estimates the KV memory of one decode engine that nobody needs, in
-// tokens; none is left at an engine that is not known.
-func (g *Gateway) freeAt(backend *table.BackendView) int {
+// freeMemoryAt estimates the unneeded KV memory of one decode engine, in tokens. It is zero
+// for an engine that is not known.
+func (g *Gateway) freeMemoryAt(backend *table.BackendView) int {
 	server := g.Fleet.Server(backend.Name)
 	if server == nil {
 		return 0
@@ -248,28 +248,28 @@
 	return max(route.FreeTokens(route.Candidate{Backend: backend, Server: server}), 0)
 }
 
-// Stop begins a graceful shutdown: requests that might outlast it are refused.
+// Stop begins a graceful shutdown. Requests that might outlast it are refused.
 func (g *Gateway) Stop(now, ends time.Time) {
 	g.stopping.CompareAndSwap(nil, &shutdown{began: now, ends: ends})
 }
 
-// Stopping says whether a graceful shutdown has begun.
+// Stopping reports whether a graceful shutdown has begun.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() != nil }
 
-// Wait blocks until everything that was taken has been given back.
+// Wait blocks until all resources that requests hold have been released.
 func (g *Gateway) Wait() { g.cleanups.Wait() }
 
-// Serve forwards one request. ctx ends when its caller departs.
+// Serve forwards one request. ctx ends when the caller disconnects.
 func (g *Gateway) Serve(ctx context.Context, r *Request) *Reply {
 	view := g.View.Table()
 	f := &flow{Gateway: g, request: r, servers: g.View.Servers(), entries: make(map[string]*registry.Entry)}
 	if view == nil {
-		return f.refuse(reason.StaleTable, "no table is known yet")
+		return f.refuse(reason.StaleTable, "no table has been received yet")
 	}
 	f.revision = view.Revision
 	f.route = view.Route(r.Host, r.Path)
 	if f.route == nil {
-		return f.end(&Reply{Status: statusNotFound, Reason: reason.UnknownService}, "no route")
+		return f.end(&Reply{Status: statusNotFound, Reason: reason.UnknownService}, "no route matches the request")
 	}
 	if refused := f.authenticate(view); refused != nil {
 		return refused
@@ -277,14 +277,14 @@
 	f.regions = allowedRegions(f.route, f.team)
 	f.service = view.Services[f.route.Service(r.ID)]
 	if f.service == nil {
-		return f.refuse(reason.UnknownService, "the route names no service")
+		return f.refuse(reason.UnknownService, "the route's service is unknown")
 	}
 	f.deadline = r.Arrived.Add(f.route.Timeout)
 	if r.Deadline.Before(f.deadline) {
 		f.deadline = r.Deadline
 	}
 	g.inFlight.Add(1)
-	f.leave = sync.OnceFunc(func() {
+	f.release = sync.OnceFunc(func() {
 		g.inFlight.Add(-1)
 		f.admission.Release()
 	})
@@ -301,7 +301,7 @@
 	return f.call(ctx)
 }
 
-// cleanup runs a small task that outlives its request.
+// cleanup runs a short task that outlives its request.
 func (g *Gateway) cleanup(task func(ctx context.Context)) {
 	g.cleanups.Add(1)
 	go func() {
--- a/forward/generate.go
+++ b/forward/generate.go
@@ -13,99 +13,100 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// generation is a request to a model service while it is forwarded. Memory at
-// a decode engine is reserved before a prompt is read, so that no prompt is
-// read for nothing.
+// generation is the state of a request to a model service while it is forwarded. Memory at a
+// decode engine is reserved before a prompt is read, so that no prompt is read in vain.
 type generation struct {
 	*flow
 	ctx    context.Context
 	cancel context.CancelFunc
-	// expected is how many tokens the request is expected to generate, and need
-	// the KV memory that is reserved for it, in tokens.
+	// expected is the number of tokens that the request is expected to generate. need is the
+	// KV memory that is reserved for it, in tokens.
 	expected int
 	need     int
-	// since is when its caller began to wait for the next event, and target when
-	// that is due.
+	// since is when the caller began to wait for the next event. target is when that event is
+	// due.
 	since  time.Time
 	target time.Time
-	// partial is set if its caller had a part of the stream when it came.
-	partial bool
-	// runs counts the engines that may have run it.
+	// resumed is set if the caller already had the start of the stream when its request
+	// arrived.
+	resumed bool
+	// runs counts the engines that may have run the request.
 	runs int
-	// noRerun is set once there was no way to run it at another engine.
+	// noRerun is set once a run at another engine was not possible.
 	noRerun bool
-	// stall ends the run at hand when it falls silent; nil if it may not go on
-	// elsewhere. cut ends it at once.
-	stall *time.Timer
-	cut   context.CancelFunc
+	// stallTimer ends the current run if it falls silent; nil if the request cannot continue
+	// at another engine. cancelRun ends the run at once.
+	stallTimer *time.Timer
+	cancelRun  context.CancelFunc
 
 	prefill *route.Rated
 	decode  *route.Rated
-	// reservation and result are what the request has taken and not yet used.
+	// reservation and result are resources that the request holds and has not used yet.
 	reservation Reservation
 	result      Prefilled
-	// readAt is when the result was ready.
+	// readAt is when the prefill result was ready.
 	readAt time.Time
-	// committed is the memory that is noted for it at the decode engine.
+	// committed is the memory that is accounted to the request at the decode engine, in
+	// tokens.
 	committed int
-	// readAtDecode has the decode engine read the prompt itself.
+	// readAtDecode is set if the decode engine reads the prompt itself.
 	readAtDecode bool
-	// readDone ends the note that the decode engine reads its prompt.
-	readDone func()
-	// done ends the notes of its running there.
-	done func()
+	// endPromptRead removes the prompt from the decode engine's count of unread tokens.
+	endPromptRead func()
+	// endRun removes the run from the counts that are kept of the decode engine.
+	endRun func()
 }
 
-// stepError says why a step failed, in the terms of the reply.
+// stepError is the reason why a step failed, in the terms of the reply.
 type stepError struct {
 	why    reason.Reason
 	detail string
-	// lost is the cause when the step's outcome is not known.
-	lost error
+	// unknownOutcome is the cause if the outcome of the step is not known.
+	unknownOutcome error
 }
 
 func (f *flow) generate(caller context.Context) *Reply {
 	ctx, cancel := clock.WithDeadline(caller, f.deadline)
 	g := &generation{
-		flow: f, ctx: ctx, cancel: cancel, done: func() {},
+		flow: f, ctx: ctx, cancel: cancel, endRun: func() {},
 		since: f.request.Arrived, target: f.request.Arrived.Add(f.route.TTFT),
-		partial: f.request.LastEvent != "",
+		resumed: f.request.LastEvent != "",
 	}
 	g.expected = f.lengthsOf(f.service.Name).Guessed(expectedLength(f.request.Generation))
 	g.need = expectedMemory(f.request.Generation, g.expected, f.margin())
 	f.sizesOf(f.service.Name).Asked(g.need, g.expected)
 	stream, failed := g.run()
-	for failed != nil && failed.lost != nil && g.mayRerun() {
-		stream, failed = g.rerun(failed.lost)
+	for failed != nil && failed.unknownOutcome != nil && g.mayRerun() {
+		stream, failed = g.rerun(failed.unknownOutcome)
 	}
 	if failed == nil {
 		return &Reply{Status: stream.Status, Fields: stream.Fields, Stream: newRelay(g, stream)}
 	}
 	defer cancel()
-	g.giveBack()
-	if failed.lost != nil {
-		return f.lost(ctx, failed.lost)
+	g.releaseAll()
+	if failed.unknownOutcome != nil {
+		return f.endWithoutAnswer(ctx, failed.unknownOutcome)
 	}
 	if ctx.Err() != nil {
-		return f.lost(ctx, ctx.Err())
+		return f.endWithoutAnswer(ctx, ctx.Err())
 	}
 	return f.giveUp(failed.why, failed.detail)
 }
 
-// run takes the steps up to the begin of the stream.
+// run takes the steps up to the start of the stream.
 func (g *generation) run() (*Stream, *stepError) {
 	want := g.request.Generation
-	g.decide(stepEstimate, strconv.Itoa(g.need), "prompt", want.PromptTokens, "hint", want.LengthHint, "most", want.MaxTokens)
-	for _, step := range []func() *stepError{g.outlast, g.choosePrefill, g.reserve, g.read} {
+	g.record(stepEstimate, strconv.Itoa(g.need), "prompt", want.PromptTokens, "hint", want.LengthHint, "most", want.MaxTokens)
+	for _, step := range []func() *stepError{g.checkStopping, g.choosePrefill, g.reserve, g.readPrompt} {
 		if failed := step(); failed != nil {
 			return nil, failed
 		}
 	}
-	return g.begin()
+	return g.startDecode()
 }
 
-// outlast refuses a stream that a stopping instance could not see to its end.
-func (g *generation) outlast() *stepError {
+// checkStopping refuses a stream that a stopping instance could not complete.
+func (g *generation) checkStopping() *stepError {
 	stopping := g.stopping.Load()
 	if stopping == nil || clock.Since(stopping.began) < g.config.StreamGrace {
 		return nil
@@ -113,18 +114,18 @@
 	return &stepError{why: reason.Stopping, detail: "the instance is stopping"}
 }
 
-// begin starts the stream at the decode engine that has the reservation, unless
-// that began to leave while the prompt was read: a second and more after it said
-// so, an engine must get no new work.
-func (g *generation) begin() (*Stream, *stepError) {
-	if g.leaving(g.decode.Name) {
-		return g.handOffElsewhere(&stepError{why: reason.HandoffRefused, detail: "the decode engine is leaving"}, false)
+// startDecode starts the stream at the decode engine that has the reservation. If that engine
+// began to leave while the prompt was read, another one is used: an engine must get no new
+// work from one second after it reported its drain.
+func (g *generation) startDecode() (*Stream, *stepError) {
+	if g.isLeaving(g.decode.Name) {
+		return g.decodeElsewhere(&stepError{why: reason.HandoffRefused, detail: "the decode engine is leaving"}, false)
 	}
 	if g.result != "" && g.View.Servers().Restarted(g.entry(g.prefill)) {
-		return g.beginWithoutResult()
+		return g.startWithoutPrefill()
 	}
-	if err := g.maySend(); err != nil {
-		return nil, failedStep(err)
+	if err := g.checkSend(); err != nil {
+		return nil, sendStepError(err)
 	}
 	order := DecodeOrder{Reservation: g.reservation, LastEvent: g.request.LastEvent}
 	unread := 0
@@ -134,49 +135,49 @@
 		unread = g.request.Generation.PromptTokens
 	}
 	g.runs++
-	stream, err := g.decodeBy(order, unread)
+	stream, err := g.decodeOnce(order, unread)
 	if err == nil {
 		if g.result != "" {
 			g.prefill.Server.HandoffDone()
 		}
-		// The engine has used both up.
+		// The engine has used up both.
 		g.reservation, g.result = "", ""
 		return stream, nil
 	}
 	var notRun *NotRun
 	if errors.As(err, &notRun) {
 		g.runs--
-		return g.readAfterAll(notRun)
+		return g.retryRefusedDecode(notRun)
 	}
-	g.remember(g.ctx, g.decode, err)
-	g.mayRun = true
-	return nil, &stepError{why: reason.DecodeFailed, detail: err.Error(), lost: err}
+	g.recordSend(g.ctx, g.decode, err)
+	g.mayHaveRun = true
+	return nil, &stepError{why: reason.DecodeFailed, detail: err.Error(), unknownOutcome: err}
 }
 
-// decodeBy has the decode engine run the request, which has so many tokens of its prompt
-// still to read.
-func (g *generation) decodeBy(order DecodeOrder, unread int) (*Stream, error) {
+// decodeOnce has the decode engine run the request once. unread is the number of prompt tokens
+// that the engine still has to read.
+func (g *generation) decodeOnce(order DecodeOrder, unread int) (*Stream, error) {
 	server := g.decode.Server
-	g.path = append(g.path, g.decode.Name)
+	g.sentTo = append(g.sentTo, g.decode.Name)
 	done := server.Begin(0)
-	g.readDone = sync.OnceFunc(server.Unread(unread))
-	heard := server.Await(clock.Now())
+	g.endPromptRead = sync.OnceFunc(server.Unread(unread))
+	endAwait := server.Await(clock.Now())
 	var ctx context.Context
-	ctx, g.cut = g.watch()
-	g.sent = clock.Now()
+	ctx, g.cancelRun = g.watchForStall()
+	g.sentAt = clock.Now()
 	stream, err := g.Backends.Decode(ctx, g.entry(g.decode), g.request, order, g.deadline)
 	if g.ctx.Err() == nil {
-		g.learn(server, err)
+		g.updateServer(server, err)
 	}
-	g.decide(stepDecode, resultOf(err), "server", g.decode.Name, "unread", unread)
-	end := func() { done(); heard(); g.readDone() }
+	g.record(stepDecode, resultOf(err), "server", g.decode.Name, "unread", unread)
+	end := func() { done(); endAwait(); g.endPromptRead() }
 	if err != nil {
-		g.unwatch()
-		g.cut()
+		g.stopStallTimer()
+		g.cancelRun()
 		end()
 		return nil, err
 	}
-	g.mayRun = true
-	g.done = sync.OnceFunc(end)
+	g.mayHaveRun = true
+	g.endRun = sync.OnceFunc(end)
 	return stream, nil
 }
--- a/forward/learn.go
+++ b/forward/learn.go
@@ -7,10 +7,10 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// learn takes the result of a call into what is believed of its server. A
-// server that refuses because it is full is sound; one that cannot be reached
-// or breaks off is not. What was not sent to it says nothing.
-func (f *flow) learn(server *route.Server, err error) {
+// updateServer applies the result of a call to the state that is kept of its server. A server
+// that refuses because it is full is healthy. A server that cannot be reached or breaks off is
+// not. A call that was not sent changes nothing.
+func (f *flow) updateServer(server *route.Server, err error) {
 	now := clock.Now()
 	var notRun *NotRun
 	if errors.As(err, &notRun) && notRun.Withheld {
@@ -34,7 +34,7 @@
 		server.Unreached(now)
 		server.Breaker.Failure(now)
 	case server.Pressure.IsResting(now):
-		// It asked to be left alone, which is no failure.
+		// The server requested the backoff, so this is no failure.
 		server.Heard(now)
 	default:
 		server.Breaker.Failure(now)
--- a/forward/memory.go
+++ b/forward/memory.go
@@ -12,18 +12,17 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// reserve has a decode engine keep memory free. While there is none, it asks
-// again for a short while: a caller that is refused within a part of its target
-// loses least.
+// reserve reserves memory at a decode engine. If there is none, it retries for a short while.
+// A caller that is refused within a fraction of its target loses least.
 func (g *generation) reserve() *stepError {
 	until := g.since.Add(time.Duration(g.config.RefuseWithin * float64(g.route.TTFT)))
 	for {
 		failed := g.reserveOnce()
-		if failed == nil || !g.mayPass(failed.why, until) {
+		if failed == nil || !g.mayClear(failed.why, until) {
 			return failed
 		}
 		if clock.Now().Add(g.config.ReservePause).After(until) {
-			g.decide(stepReserve, "none", "need", g.need, "spare", g.spare(), "yield", g.yield(), "mostFree", g.mostFree())
+			g.record(stepReserve, "none", "need", g.need, "spare", g.spare(), "yield", g.yield(), "mostFree", g.mostFree())
 			return failed
 		}
 		if !wait.For(g.ctx, g.config.ReservePause) {
@@ -33,12 +32,13 @@
 	}
 }
 
-// mayPass says whether what no engine could be reserved for may be over by then.
-func (g *generation) mayPass(why reason.Reason, by time.Time) bool {
-	return why == reason.NoDecodeMemory || (why == g.held && !g.opens.IsZero() && g.opens.Before(by))
+// mayClear reports whether the reason that prevented a reservation may have gone by the given
+// time.
+func (g *generation) mayClear(why reason.Reason, by time.Time) bool {
+	return why == reason.NoDecodeMemory || (why == g.unavailable && !g.availableAt.IsZero() && g.availableAt.Before(by))
 }
 
-// reserveOnce asks the engines with most memory left, only some of them.
+// reserveOnce requests a reservation from a few of the engines that have the most memory left.
 func (g *generation) reserveOnce() *stepError {
 	for range g.config.ReserveTries {
 		query := g.query()
@@ -46,40 +46,40 @@
 		if g.prefill != nil && !g.readAtDecode {
 			query.Zone = g.prefill.Backend.Zone
 		}
-		chosen := g.chooseBy(query, g.decodeProfile(), decodePool)
+		chosen := g.chooseFor(query, g.decodeProfile(), decodePool)
 		if chosen == nil {
 			break
 		}
 		g.tried = append(g.tried, chosen.Name)
-		reservation, err := g.ask(chosen)
+		reservation, err := g.requestReservation(chosen)
 		if err == nil {
-			g.decide(stepReserve, "ok", "server", chosen.Name, "free", route.FreeTokens(chosen.Candidate))
+			g.record(stepReserve, "ok", "server", chosen.Name, "free", route.FreeTokens(chosen.Candidate))
 			g.decode, g.reservation = chosen, reservation
 			g.committed = g.need
 			chosen.Server.Hold(g.need)
 			return nil
 		}
-		g.decide(stepReserve, err.Error(), "server", chosen.Name, "free", route.FreeTokens(chosen.Candidate))
+		g.record(stepReserve, err.Error(), "server", chosen.Name, "free", route.FreeTokens(chosen.Candidate))
 		if g.ctx.Err() != nil {
 			return &stepError{why: reason.CallerGone, detail: err.Error()}
 		}
 	}
-	return g.noEngine()
+	return g.noEngineError()
 }
 
-// noEngine says why no engine could be reserved.
-func (g *generation) noEngine() *stepError {
+// noEngineError returns the reason why no engine could be reserved.
+func (g *generation) noEngineError() *stepError {
 	switch {
-	case g.held != reason.None && len(g.tried) == 0:
-		return &stepError{why: g.held, detail: "no decode engine takes it now"}
+	case g.unavailable != reason.None && len(g.tried) == 0:
+		return &stepError{why: g.unavailable, detail: "no decode engine accepts the request now"}
 	case g.readAtDecode:
-		return &stepError{why: reason.DeadlineTooClose, detail: "the prompts ahead take too long"}
+		return &stepError{why: reason.DeadlineTooClose, detail: "the prompts ahead in the queue take too long"}
 	}
-	return &stepError{why: reason.NoDecodeMemory, detail: "no decode engine has enough memory left"}
+	return &stepError{why: reason.NoDecodeMemory, detail: "no decode engine has enough free memory"}
 }
 
-// decodeProfile chooses an engine that generates; one that is to read the
-// prompt too must not be reading another.
+// decodeProfile returns the profile that chooses the decode engine. An engine that is also to
+// read the prompt must not be reading another prompt.
 func (g *generation) decodeProfile() *route.Profile {
 	if g.readAtDecode {
 		return g.Gateway.readingDecode
@@ -87,20 +87,21 @@
 	return g.Gateway.decode
 }
 
-// mostFree is the most KV memory that any decode engine has left, in tokens.
+// mostFree returns the most KV memory that any decode engine has left, in tokens.
 func (g *generation) mostFree() int {
 	most := 0
 	for _, backend := range g.servers.Decode[g.service.Name] {
-		most = max(most, g.freeAt(backend))
+		most = max(most, g.freeMemoryAt(backend))
 	}
 	return most
 }
 
-// yield is what the request leaves free for others, as a multiple of the spare.
-func (g *generation) yield() float64 { return route.Yield(g.used, g.config.TeamYield) }
+// yield returns how much memory the request leaves free for others, as a multiple of the
+// spare.
+func (g *generation) yield() float64 { return route.Yield(g.allotmentUsed, g.config.TeamYield) }
 
-// spare is the part of an engine's memory that must stay free beside the
-// request, for those that outgrow what was expected of them.
+// spare returns the fraction of an engine's memory that must stay free beside the request, for
+// requests that outgrow their expected size.
 func (g *generation) spare() float64 {
 	memory := g.service.Engine.MemoryTokens
 	if memory == 0 {
@@ -110,18 +111,18 @@
 	return sizes.Spare(memory)
 }
 
-func (g *generation) ask(chosen *route.Rated) (Reservation, error) {
+func (g *generation) requestReservation(chosen *route.Rated) (Reservation, error) {
 	ctx, cancel := context.WithTimeout(g.ctx, g.config.ReserveTimeout)
 	defer cancel()
 	defer chosen.Server.Await(clock.Now())()
 	reservation, err := g.Backends.Reserve(ctx, g.entry(chosen), g.need, g.service.Engine.Hold)
 	if g.ctx.Err() == nil {
-		g.learn(chosen.Server, err)
+		g.updateServer(chosen.Server, err)
 	}
 	return reservation, err
 }
 
-// grow notes that the request needs more memory than was expected.
+// grow accounts for memory that the request needs beyond its expected size.
 func (g *generation) grow(tokens int) {
 	if tokens <= g.committed {
 		return
@@ -130,13 +131,13 @@
 	g.committed = tokens
 }
 
-// free ends the notes of what it has committed at the decode engine.
-func (g *generation) free() {
-	g.done()
+// releaseDecode ends the accounting for the request at the decode engine.
+func (g *generation) releaseDecode() {
+	g.endRun()
 	g.uncommit()
 }
 
-// uncommit ends the note of its memory at the decode engine.
+// uncommit ends the accounting for the request's memory at the decode engine.
 func (g *generation) uncommit() {
 	if g.decode != nil {
 		g.decode.Server.Hold(-g.committed)
@@ -144,37 +145,37 @@
 	g.committed = 0
 }
 
-// giveBack ends the request's part at the engines.
-func (g *generation) giveBack() {
-	g.free()
-	g.returnTaken()
+// releaseAll releases everything that the request holds at the engines.
+func (g *generation) releaseAll() {
+	g.releaseDecode()
+	g.releaseUnused()
 }
 
-// returnTaken frees what the request has taken and not used.
-func (g *generation) returnTaken() {
-	g.returnReservation()
-	if server := g.taken(g.prefill, string(g.result)); server != nil {
+// releaseUnused releases the resources that the request has not used.
+func (g *generation) releaseUnused() {
+	g.releaseReservation()
+	if entry := g.holder(g.prefill, string(g.result)); entry != nil {
 		result := g.result
-		g.cleanup(func(ctx context.Context) { g.report("prefill result", server, g.Backends.Free(ctx, server, result)) })
+		g.cleanup(func(ctx context.Context) { g.logLeak("prefill result", entry, g.Backends.Free(ctx, entry, result)) })
 	}
 	g.result = ""
 }
 
-// returnReservation gives up memory that was reserved and is not used.
-func (g *generation) returnReservation() {
-	if server := g.taken(g.decode, string(g.reservation)); server != nil {
+// releaseReservation releases reserved memory that is not used.
+func (g *generation) releaseReservation() {
+	if entry := g.holder(g.decode, string(g.reservation)); entry != nil {
 		reservation := g.reservation
 		g.cleanup(func(ctx context.Context) {
-			g.report("reservation", server, g.Backends.Release(ctx, server, reservation))
+			g.logLeak("reservation", entry, g.Backends.Release(ctx, entry, reservation))
 		})
 	}
 	g.reservation = ""
 }
 
-// taken returns the run of a server that still keeps what a request took there; nil
-// if nothing was taken, or if the server has started again: what it names so now may
-// be another request's.
-func (g *generation) taken(at *route.Rated, what string) *registry.Entry {
+// holder returns the entry of the server run that still holds a resource of the request. It
+// returns nil if nothing is held, or if the server was restarted: the same name may now
+// identify a resource of another request.
+func (g *generation) holder(at *route.Rated, what string) *registry.Entry {
 	if what == "" {
 		return nil
 	}
@@ -185,41 +186,41 @@
 	return entry
 }
 
-// report notes that something could not be given back. It lapses by itself.
-func (g *generation) report(what string, server *registry.Entry, err error) {
+// logLeak counts and logs a resource that could not be released. It expires by itself.
+func (g *generation) logLeak(what string, server *registry.Entry, err error) {
 	if err != nil {
 		g.Metrics.NotReturned(what)
-		logNotReturned(g.request.ID, what, server.ID, err)
+		logNotReleased(g.request.ID, what, server.ID, err)
 	}
 }
 
-// margin is the part of the tokens that a request is expected to generate for which
-// memory is reserved. What it needs beyond is found at its engine, or, where streams move,
-// at any other: the errors of guesses at all streams of a service add up as a root, so the
-// more engines there are, the less of them each has to keep.
+// margin returns the fraction of the expected tokens for which memory is reserved. Memory
+// needed beyond that is found at the same engine or, if streams can move, at any other one.
+// The errors of length estimates over all streams of a service add up as a square root, so
+// each engine has to keep less of a margin the more engines there are.
 func (f *flow) margin() float64 {
-	return f.config.HintMargin * math.Sqrt(f.pooled())
+	return f.config.HintMargin * math.Sqrt(f.poolingFactor())
 }
 
-// pooled is the part of an engine's own share in what errors of guesses take that is left
-// where others help out: 1 with few engines, or where streams do not move. A stream that moves since its engine has no
-// memory leaves this part of what newcomers leave free. With all of it 21 to 63 streams of
-// a day were preempted before 30 engines, with 0.3 5 to 42, with none 34 to 66 (two days of
-// two seeds each of the users' sheet with long answers).
-func (f *flow) pooled() float64 {
+// poolingFactor returns the fraction of the margin for estimation errors that an engine still
+// needs if other engines help out. It is 1 with few engines, or if streams do not move. A
+// stream that moves because its engine has no memory leaves this fraction of the memory free
+// that new streams leave free. With 30 engines, 21 to 63 streams of a day were preempted when
+// moved streams left all of it free, 5 to 42 with 0.3 of it, and 34 to 66 with none.
+func (f *flow) poolingFactor() float64 {
 	if !f.service.Engine.Moves {
 		return 1
 	}
 	return min(marginEngines/float64(max(len(f.servers.Decode[f.service.Name]), 1)), 1)
 }
 
-// marginEngines is how many engines HintMargin was measured with. With 0.3 in place of 0.6
-// days were worth 0.02 less with 7 engines, and 0.04 more with 30 (trials: 12 days of two
-// sheets, four of another).
+// marginEngines is the number of engines up to which HintMargin applies unreduced. Compared
+// with a margin of 0.6, a margin of 0.3 lowers the score of a day by 0.02 with 7 engines and
+// raises it by 0.04 with 30 engines.
 const marginEngines = 7.0
 
-// expectedLength is a caller's guess at the tokens that a request generates,
-// within what it allows.
+// expectedLength returns the caller's estimate of the tokens that a request generates, bounded
+// by the maximum that it allows.
 func expectedLength(want *Generation) int {
 	if want.LengthHint > 0 {
 		return min(want.MaxTokens, want.LengthHint)
@@ -227,10 +228,10 @@
 	return want.MaxTokens
 }
 
-// expectedMemory estimates the KV memory that a request will need: its prompt
-// and a part of what it is expected to generate. While it grows to all of that,
-// others end: a larger part keeps out requests that would have found room, and
-// with a smaller one requests are preempted and read in again.
+// expectedMemory estimates the KV memory that a request will need: its prompt and a fraction
+// of the tokens that it is expected to generate. While the request grows to its full size,
+// others end. A larger fraction keeps out requests that would have found room. With a smaller
+// one requests are preempted and their prompts read again.
 func expectedMemory(want *Generation, expected int, margin float64) int {
 	return want.PromptTokens + int(float64(min(expected, want.MaxTokens))*margin)
 }
--- a/forward/move.go
+++ b/forward/move.go
@@ -12,23 +12,24 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// A stream goes on at another engine, from its memory there, when its own is about to
-// have no memory left, or is leaving. Without, an engine without memory preempts a stream
-// and reads it anew, 3,500 to 5,200 tokens, and all its streams pause meanwhile; one that
-// leaves breaks off those that outlast it. The memory of a stream, some 0.1 GB, passes in
-// a few milliseconds. A move is the same run: also streams that may not be repeated move.
+// A stream moves to another engine together with its memory when its own engine is about to
+// run out of memory or is leaving. Without moves, an engine that runs out of memory preempts a
+// stream and reads it again, 3,500 to 5,200 tokens, while all its other streams pause. A
+// leaving engine breaks off the streams that outlast it. The memory of a stream, some 0.1 GB,
+// is transferred in a few milliseconds. The run stays the same, so streams that must not be
+// repeated can move too.
 
-// move is a stream's way from one decode engine to another.
+// move is the transfer of a stream from one decode engine to another.
 type move struct {
 	from, to *route.Rated
 	why      reason.Reason
 	began    time.Time
-	// need is the memory that is noted for the stream at the engine that it moves to.
+	// need is the memory that is accounted to the stream at the destination, in tokens.
 	need int
-	// done is closed once the outcome below is known.
+	// done is closed once the fields below are final.
 	done chan struct{}
-	// result names the stream's memory; stopped is set if its run has ended for the move,
-	// and arrived if the memory is at the other engine.
+	// result identifies the stream's memory. stopped is set if the run was stopped for the
+	// move, and arrived if the memory is at the destination.
 	result  Prefilled
 	stopped bool
 	arrived bool
@@ -36,50 +37,50 @@
 }
 
 const (
-	// moveLook is the pause between two looks at whether a stream should move: others'
-	// commitments are known about so late.
-	moveLook = 100 * time.Millisecond
-	// moveLead is how long before an engine has no memory left a stream leaves it: the
-	// age of what is known of it, and the copying.
+	// moveCheckInterval is the pause between two checks whether a stream should move.
+	// Commitments of other instances become known with that delay.
+	moveCheckInterval = 100 * time.Millisecond
+	// moveLead is how long before an engine runs out of memory a stream leaves it. It covers
+	// the age of what is known of the engine and the copying.
 	moveLead = 300 * time.Millisecond
-	// maxMoves bounds how often one stream moves: each time costs its memory's transfer.
+	// maxMoves bounds the moves of one stream, because each costs a transfer of its memory.
 	maxMoves = 4
-	// moveCopy and moveStop bound the two calls of a move: the copying while the run goes
-	// on, and the rest once it has stopped. Callers bear a pause of 300 ms (source: the
-	// users' sheets).
-	moveCopy = 500 * time.Millisecond
-	moveStop = 400 * time.Millisecond
-	// moveStops is how often the second call is made if it is not answered: its run may
-	// have stopped.
-	moveStops = 2
-	// lastEvents is how many events of the longest answer may be left for it to stay: it
-	// would end before it has moved.
-	lastEvents = 4
-	// tailPart is what an answer that has outgrown its caller's guess is expected to
-	// generate yet, as a part of what it has: guesses are off by half in the mean
-	// (source: the users' sheets).
-	tailPart = 0.3
+	// moveCopyTimeout and moveStopTimeout bound the two calls of a move: the first copies
+	// while the run continues, the second copies the rest after the run has stopped. Callers
+	// tolerate a pause of 300 ms (source: the users' sheets).
+	moveCopyTimeout = 500 * time.Millisecond
+	moveStopTimeout = 400 * time.Millisecond
+	// moveStopAttempts is how often the second call is made if it gets no answer, because the
+	// run may have stopped.
+	moveStopAttempts = 2
+	// maxEventsToStay is the number of remaining events, for the longest possible answer, up
+	// to which a stream stays. It would end before the move does.
+	maxEventsToStay = 4
+	// overrunFraction is how much more an answer that has outgrown its caller's estimate is
+	// expected to generate, as a fraction of what it has generated. Estimates are off by half
+	// in the mean (source: the users' sheets).
+	overrunFraction = 0.3
 )
 
-// considerMove begins a move if the stream should leave its engine, or ends one that has
+// considerMove starts a move if the stream should leave its engine, or ends a move that has
 // failed.
 func (r *relay) considerMove(now time.Time) {
 	if r.move != nil {
-		r.abandonFailed()
+		r.endFailedMove()
 		return
 	}
-	if !r.service.Engine.Moves || r.lastID == "" || r.moves >= maxMoves || now.Before(r.nextLook) {
+	if !r.service.Engine.Moves || r.lastID == "" || r.moves >= maxMoves || now.Before(r.nextMoveCheck) {
 		return
 	}
-	r.nextLook = now.Add(moveLook)
-	if r.mostLeft() <= lastEvents*r.service.Engine.EventTokens {
+	r.nextMoveCheck = now.Add(moveCheckInterval)
+	if r.maxTokensLeft() <= maxEventsToStay*r.service.Engine.EventTokens {
 		return
 	}
 	why := r.reasonToMove()
 	if why == reason.None {
 		return
 	}
-	need := r.needElsewhere()
+	need := r.memoryAfterMove()
 	to := r.destination(why, need)
 	if to == nil {
 		return
@@ -87,32 +88,32 @@
 	r.beginMove(&move{from: r.decode, to: to, why: why, began: now, need: need, done: make(chan struct{})})
 }
 
-// reasonToMove says why the stream should leave its engine; none if it may stay.
+// reasonToMove returns the reason why the stream should leave its engine; none if it may stay.
 func (r *relay) reasonToMove() reason.Reason {
-	if r.leaving(r.decode.Name) {
+	if r.isLeaving(r.decode.Name) {
 		return reason.EngineLeaving
 	}
-	if r.freeAt(r.decode.Backend) < r.soonTaken() && r.drawn() {
+	if r.freeMemoryAt(r.decode.Backend) < r.growthBeforeMove() && r.selectedToMove() {
 		return reason.EngineFull
 	}
 	return reason.None
 }
 
-// drawn says whether it is for this stream to leave an engine without memory: for one
-// that has outgrown what was expected of it, and of the others for about one. Who else has
-// a stream there sees the same.
-func (r *relay) drawn() bool {
-	return r.committed > r.outgrown || r.Random()*float64(r.streamsAt(r.decode.Server)) < 1
+// selectedToMove reports whether this stream should leave an engine that runs out of memory.
+// It is true for each stream that has outgrown its expected size, and for about one of the
+// others, drawn at random. Other instances with streams at the engine see the same state.
+func (r *relay) selectedToMove() bool {
+	return r.committed > r.plannedMemory || r.Random()*float64(r.streamsAt(r.decode.Server)) < 1
 }
 
-// streamsAt is how many streams an engine has, of all instances.
+// streamsAt returns the number of streams that all instances have at an engine.
 func (r *relay) streamsAt(server *route.Server) int {
 	return server.InFlight() + server.Others().InFlight
 }
 
-// soonTaken is the memory that the streams at the engine may take until a move from it
-// is done.
-func (r *relay) soonTaken() int {
+// growthBeforeMove returns the memory that the streams at the engine may take before a move
+// from it completes, in tokens.
+func (r *relay) growthBeforeMove() int {
 	pause, known := r.pausesOf(r.service.Name).usual.Most()
 	if !known {
 		pause = r.config.EventPause
@@ -120,30 +121,30 @@
 	return int(float64(r.streamsAt(r.decode.Server)*r.service.Engine.EventTokens) * moveLead.Seconds() / max(pause, time.Millisecond).Seconds())
 }
 
-// generated is how many tokens the stream has.
+// generated returns the number of tokens that the stream has generated.
 func (r *relay) generated() int { return r.events * r.service.Engine.EventTokens }
 
-// mostLeft is how many tokens the stream may generate yet.
-func (r *relay) mostLeft() int { return r.request.Generation.MaxTokens - r.generated() }
+// maxTokensLeft returns how many more tokens the stream may generate.
+func (r *relay) maxTokensLeft() int { return r.request.Generation.MaxTokens - r.generated() }
 
-// needElsewhere is the memory that the stream needs at an engine that it moves to.
-func (r *relay) needElsewhere() int {
-	left := max(r.expected-r.generated(), int(tailPart*float64(r.generated())))
-	left = max(min(left, r.mostLeft()), 0)
+// memoryAfterMove returns the memory that the stream needs at its destination, in tokens.
+func (r *relay) memoryAfterMove() int {
+	left := max(r.expected-r.generated(), int(overrunFraction*float64(r.generated())))
+	left = max(min(left, r.maxTokensLeft()), 0)
 	return r.request.Generation.PromptTokens + r.generated() + int(float64(left)*r.margin())
 }
 
-// destination chooses the engine to move to; nil without one. A stream whose engine
-// leaves takes what would stay free for others.
+// destination chooses the engine to move to; nil if there is none. A stream whose engine is
+// leaving may use the memory that is kept free for others.
 func (r *relay) destination(why reason.Reason, need int) *route.Rated {
 	r.tried = append(r.tried[:0], r.decode.Name)
 	defer func() { r.tried = r.tried[:0] }()
 	query := r.query()
 	query.MemoryTokens, query.Zone = need, r.decode.Backend.Zone
 	if why != reason.EngineLeaving {
-		query.Spare = r.pooled() * r.spare()
+		query.Spare = r.poolingFactor() * r.spare()
 	}
-	return r.chooseBy(query, r.Gateway.decode, decodePool)
+	return r.chooseFor(query, r.Gateway.decode, decodePool)
 }
 
 func (r *relay) beginMove(m *move) {
@@ -157,14 +158,15 @@
 	}()
 }
 
-// run copies the stream's memory while it goes on, then stops it and copies the rest.
+// run copies the stream's memory while the run continues, then stops the run and copies the
+// rest.
 func (m *move) run(ctx context.Context, backends Backends, from, to *registry.Entry, request *Request) {
-	if m.result, m.err = moveWithin(ctx, moveCopy, backends, from, to, request, false); m.err != nil {
+	if m.result, m.err = moveWithTimeout(ctx, moveCopyTimeout, backends, from, to, request, false); m.err != nil {
 		return
 	}
-	for range moveStops {
+	for range moveStopAttempts {
 		var result Prefilled
-		result, m.err = moveWithin(ctx, moveStop, backends, from, to, request, true)
+		result, m.err = moveWithTimeout(ctx, moveStopTimeout, backends, from, to, request, true)
 		var refused *NotRun
 		if m.err == nil || errors.As(m.err, &refused) {
 			m.arrived = m.err == nil
@@ -177,14 +179,14 @@
 	}
 }
 
-func moveWithin(ctx context.Context, limit time.Duration, backends Backends, from, to *registry.Entry, request *Request, last bool) (Prefilled, error) {
+func moveWithTimeout(ctx context.Context, limit time.Duration, backends Backends, from, to *registry.Entry, request *Request, last bool) (Prefilled, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return backends.Move(ctx, from, to, request, last)
 }
 
-// abandonFailed ends a move that has failed while its stream goes on.
-func (r *relay) abandonFailed() {
+// endFailedMove ends a move that has failed while its stream continues.
+func (r *relay) endFailedMove() {
 	select {
 	case <-r.move.done:
 	default:
@@ -196,11 +198,11 @@
 	r.endMove("failed")
 }
 
-// endMove drops a move that is over, with what it has taken at the other engine.
+// endMove removes a move that is over and releases what it holds at the other engine.
 func (r *relay) endMove(outcome string) {
 	m := r.move
 	r.move = nil
-	r.decide(stepMove, outcome, "from", m.from.Name, "to", m.to.Name, "why", m.why, "need", m.need,
+	r.record(stepMove, outcome, "from", m.from.Name, "to", m.to.Name, "why", m.why, "need", m.need,
 		"tookMillis", clock.Since(m.began).Milliseconds(), "err", resultOf(m.err))
 	if outcome == moveDone {
 		r.Metrics.Retried(m.why)
@@ -208,67 +210,67 @@
 	}
 	m.to.Server.Hold(-m.need)
 	from := r.entry(m.from)
-	r.cleanup(func(ctx context.Context) { r.freeMoved(ctx, from, m) })
+	r.cleanup(func(ctx context.Context) { r.releaseMoved(ctx, from, m) })
 }
 
-// freeMoved gives up the memory of a move that came to nothing.
-func (r *relay) freeMoved(ctx context.Context, from *registry.Entry, m *move) {
+// releaseMoved releases the memory of a move that failed.
+func (r *relay) releaseMoved(ctx context.Context, from *registry.Entry, m *move) {
 	if m.result != "" {
-		r.report("moved memory", from, r.Backends.Free(ctx, from, m.result))
+		r.logLeak("moved memory", from, r.Backends.Free(ctx, from, m.result))
 	}
 }
 
-// moveDone is the outcome of a move after which the stream goes on.
+// moveDone is the outcome of a move after which the stream continues at its destination.
 const moveDone = "ok"
 
-// moved takes the stream up where its memory is, if it broke off for a move. It says
-// whether the stream goes on.
-func (r *relay) moved() bool {
+// resumeMoved continues the stream where its memory is, if it broke off for a move. It reports
+// whether the stream continues.
+func (r *relay) resumeMoved() bool {
 	if r.move == nil {
 		return false
 	}
 	m := r.move
 	<-m.done
-	if !m.stopped || r.maySend() != nil {
+	if !m.stopped || r.checkSend() != nil {
 		r.endMove("broken off")
 		return false
 	}
-	r.unwatch()
+	r.stopStallTimer()
 	r.stream.Close()
-	r.cut()
+	r.cancelRun()
 	r.buffer = r.buffer[:r.ready]
-	r.behindLast()
-	r.free()
+	r.resumeAfterLastEvent()
+	r.releaseDecode()
 	order := DecodeOrder{Source: r.entry(m.from), Result: m.result, LastEvent: r.request.LastEvent}
-	if m.arrived && !r.leaving(m.to.Name) {
-		r.decode, r.committed, r.outgrown = m.to, m.need, m.need
-		if stream, err := r.decodeBy(order, 0); err == nil {
+	if m.arrived && !r.isLeaving(m.to.Name) {
+		r.decode, r.committed, r.plannedMemory = m.to, m.need, m.need
+		if stream, err := r.decodeOnce(order, 0); err == nil {
 			r.endMove(moveDone)
-			r.takeUp(stream)
+			r.continueWith(stream)
 			return r.ended == nil
 		}
 		r.uncommit()
 	} else {
 		m.to.Server.Hold(-m.need)
 	}
-	return r.backToSource(m, order)
+	return r.resumeAtSource(m, order)
 }
 
-// backToSource has a stream go on where it was stopped for a move that came to nothing.
-func (r *relay) backToSource(m *move, order DecodeOrder) bool {
+// resumeAtSource continues a stream at the engine where it was stopped for a move that failed.
+func (r *relay) resumeAtSource(m *move, order DecodeOrder) bool {
 	r.decode, r.committed = m.from, 0
 	r.grow(m.need)
-	stream, err := r.decodeBy(order, 0)
+	stream, err := r.decodeOnce(order, 0)
 	r.move = nil
-	r.decide(stepMove, "back", "from", m.from.Name, "to", m.to.Name, "why", m.why, "err", resultOf(err))
+	r.record(stepMove, "back", "from", m.from.Name, "to", m.to.Name, "why", m.why, "err", resultOf(err))
 	if err != nil {
 		return false
 	}
-	r.takeUp(stream)
+	r.continueWith(stream)
 	return r.ended == nil
 }
 
-// cancelMove ends a move that is under way as the request ends.
+// cancelMove ends the move that is in progress when the request ends.
 func (r *relay) cancelMove() {
 	m := r.move
 	if m == nil {
@@ -279,6 +281,6 @@
 	r.cleanup(func(ctx context.Context) {
 		<-m.done
 		m.to.Server.Hold(-m.need)
-		r.freeMoved(ctx, from, m)
+		r.releaseMoved(ctx, from, m)
 	})
 }
--- a/forward/plain.go
+++ b/forward/plain.go
@@ -13,8 +13,7 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// call forwards a plain request to one server, and to another only where that
-// is allowed.
+// call forwards a plain request to one server, and to another one only if that is allowed.
 func (f *flow) call(caller context.Context) *Reply {
 	if stopping := f.stopping.Load(); stopping != nil && clock.Until(stopping.ends) < f.config.LastCalls {
 		return f.refuse(reason.Stopping, "the instance is stopping")
@@ -23,29 +22,29 @@
 	defer cancel()
 	for attempt := 1; ; {
 		answer, err := f.callOnce(ctx)
-		switch verdict := f.judge(ctx, answer, err, attempt); verdict {
-		case again:
+		switch verdict := f.nextStep(ctx, answer, err, attempt); verdict {
+		case retryFromBudget:
 			attempt++
-		case elsewhere:
+		case retryUnreached:
 		default:
 			return f.conclude(ctx, answer, err)
 		}
 	}
 }
 
-// verdict says how a plain request goes on after one try.
+// verdict is the next step of a plain request after one try.
 type verdict int
 
 const (
-	// final: the caller gets what there is.
+	// final: the caller gets the result.
 	final verdict = iota
-	// again: another server is tried, at the price of an attempt.
-	again
-	// elsewhere: another server is tried; the last was not reached at all.
-	elsewhere
+	// retryFromBudget: another server is tried, which uses up an attempt.
+	retryFromBudget
+	// retryUnreached: another server is tried, because the last one was not reached at all.
+	retryUnreached
 )
 
-// errNoServer means that there is no server left to try.
+// errNoServer is the error if no server is left to try.
 var errNoServer = errors.New("no backend server is left to try")
 
 func (f *flow) callOnce(ctx context.Context) (*Answer, error) {
@@ -53,37 +52,38 @@
 	if chosen == nil {
 		return nil, errNoServer
 	}
-	if err := f.maySend(); err != nil {
+	if err := f.checkSend(); err != nil {
 		return nil, err
 	}
 	f.tried = append(f.tried, chosen.Name)
-	f.path = append(f.path, chosen.Name)
+	f.sentTo = append(f.sentTo, chosen.Name)
 	defer chosen.Server.Begin(0)()
 	defer chosen.Server.Await(clock.Now())()
-	f.sent = clock.Now()
+	f.sentAt = clock.Now()
 	answer, err := f.Backends.Call(ctx, f.entry(chosen), f.request, f.deadline)
-	f.decide(stepCall, callResult(answer, err), "server", chosen.Name, "inFlight", chosen.Server.InFlight())
+	f.record(stepCall, callResult(answer, err), "server", chosen.Name, "inFlight", chosen.Server.InFlight())
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		// A caller that left says nothing of the server.
-		f.learn(chosen.Server, err)
+		// A caller that left says nothing about the server.
+		f.updateServer(chosen.Server, err)
 	}
-	f.remember(ctx, chosen, err)
+	f.recordSend(ctx, chosen, err)
 	return answer, err
 }
 
-// remember notes what a send to a server says of the request: nothing if the server
-// disclaimed it, or if the caller left or the time was up first.
-func (f *flow) remember(ctx context.Context, at *route.Rated, err error) {
+// recordSend records the result of a send to a server for the poison check. It records nothing
+// if the server reports that it did not run the request, or if the caller left or the deadline
+// passed first.
+func (f *flow) recordSend(ctx context.Context, at *route.Rated, err error) {
 	var notRun *NotRun
 	switch {
 	case err == nil:
-		f.completed()
+		f.recordCompleted()
 	case ctx.Err() == nil && !errors.As(err, &notRun):
-		f.broke(at)
+		f.recordBroken(at)
 	}
 }
 
-// callResult is the outcome of a call: the server's status, or why there is
+// callResult returns the outcome of a call: the server's status, or the error if there is
 // none.
 func callResult(answer *Answer, err error) string {
 	if err != nil {
@@ -92,49 +92,49 @@
 	return strconv.Itoa(answer.Status)
 }
 
-// serverError is the lowest status of a server that failed.
+// serverError is the lowest status of an answer that reports a failed server.
 const serverError = 500
 
-// judge decides whether another server is tried.
-func (f *flow) judge(ctx context.Context, answer *Answer, err error, attempt int) verdict {
+// nextStep decides whether another server is tried.
+func (f *flow) nextStep(ctx context.Context, answer *Answer, err error, attempt int) verdict {
 	var notRun *NotRun
 	switch {
-	case ctx.Err() != nil || errors.Is(err, errNoServer) || errors.Is(err, errPoison) || errors.Is(err, errExpired):
+	case ctx.Err() != nil || errors.Is(err, errNoServer) || errors.Is(err, errPoison) || errors.Is(err, errDeadlinePassed):
 		return final
 	case errors.As(err, &notRun) && !notRun.Sent:
-		return elsewhere
+		return retryUnreached
 	case errors.As(err, &notRun):
-		return f.spend(attempt, notRun.Why)
+		return f.spendRetry(attempt, notRun.Why)
 	case f.route.Repeat != table.RepeatSafe:
-		f.mayRun = true
+		f.mayHaveRun = true
 		return final
 	case err != nil:
-		f.mayRun = true
+		f.mayHaveRun = true
 		if !f.mayRepeat() {
-			f.decide(stepRetry, "no", "why", reason.CrashesServers, "attempt", attempt)
+			f.record(stepRetry, "no", "why", reason.CrashesServers, "attempt", attempt)
 			return final
 		}
-		return f.spend(attempt, reason.AnswerLost)
+		return f.spendRetry(attempt, reason.AnswerLost)
 	case answer.Status >= serverError:
-		f.mayRun = true
-		return f.spend(attempt, reason.BackendFailed)
+		f.mayHaveRun = true
+		return f.spendRetry(attempt, reason.BackendFailed)
 	}
-	f.mayRun = true
+	f.mayHaveRun = true
 	return final
 }
 
-// spend takes another attempt from the route and the budget.
-func (f *flow) spend(attempt int, why reason.Reason) verdict {
+// spendRetry takes one attempt from the route's limit and from the retry budget.
+func (f *flow) spendRetry(attempt int, why reason.Reason) verdict {
 	if attempt >= f.route.Attempts {
 		return final
 	}
 	if !f.Budget(f.service.Name).Spend(clock.Now()) {
-		f.decide(stepRetry, "no", "why", why, "attempt", attempt, "budgetLeft", 0)
+		f.record(stepRetry, "no", "why", why, "attempt", attempt, "budgetLeft", 0)
 		return final
 	}
 	f.Metrics.Retried(why)
-	f.decide(stepRetry, "yes", "why", why, "attempt", attempt, "budgetLeft", f.Budget(f.service.Name).Left(clock.Now()))
-	return again
+	f.record(stepRetry, "yes", "why", why, "attempt", attempt, "budgetLeft", f.Budget(f.service.Name).Left(clock.Now()))
+	return retryFromBudget
 }
 
 // conclude answers the caller with the result of the last try.
@@ -143,16 +143,16 @@
 	switch {
 	case err == nil:
 		return f.deliver(answer)
-	case errors.Is(err, errExpired):
+	case errors.Is(err, errDeadlinePassed):
 		return f.timeout(err.Error())
 	case errors.Is(err, errPoison):
 		return f.fail(reason.CrashesServers, err.Error())
 	case errors.Is(err, errNoServer):
-		return f.refuse(cmp.Or(f.held, reason.NoBackend), err.Error())
+		return f.refuse(cmp.Or(f.unavailable, reason.NoBackend), err.Error())
 	case errors.As(err, &notRun):
 		return f.refuse(notRun.Why, notRun.Detail)
 	default:
-		f.mayRun = true
-		return f.lost(ctx, err)
+		f.mayHaveRun = true
+		return f.endWithoutAnswer(ctx, err)
 	}
 }
--- a/forward/regions.go
+++ b/forward/regions.go
@@ -6,14 +6,14 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// A route and a team may each name the regions that may serve them; both bind. A request then
-// goes to servers there only, and so does what it leaves behind: prompts that were read,
-// reservations, streams that move.
+// A route and a team may each name the regions that may serve them, and both limits apply. The
+// request then goes only to servers in those regions, and so does everything that belongs to
+// it: prefill results, reservations and streams that move.
 
-// regions are where a request may be served; nil means anywhere.
+// regions is the set of regions that may serve a request; nil allows all.
 type regions map[string]bool
 
-// allowedRegions returns where requests of a route and a team may be served.
+// allowedRegions returns the regions that may serve the requests of a route and a team.
 func allowedRegions(route *table.RouteView, team *table.TeamView) regions {
 	var allowed regions
 	for _, bound := range [][]string{route.Regions, regionsOf(team)} {
@@ -36,16 +36,16 @@
 	return team.Regions
 }
 
-// within returns the servers that are in one of the regions.
-func (r regions) within(backends []*table.BackendView, regionOf map[string]string) []*table.BackendView {
+// filter returns the servers that are in one of the regions.
+func (r regions) filter(backends []*table.BackendView, regionOf map[string]string) []*table.BackendView {
 	if r == nil {
 		return backends
 	}
-	return slices.DeleteFunc(slices.Clone(backends), func(b *table.BackendView) bool { return !r.hold(b, regionOf) })
+	return slices.DeleteFunc(slices.Clone(backends), func(b *table.BackendView) bool { return !r.contains(b, regionOf) })
 }
 
-// hold says whether a server is in one of the regions. One in a zone whose region is not
-// known is in none.
-func (r regions) hold(backend *table.BackendView, regionOf map[string]string) bool {
+// contains reports whether a server is in one of the regions. A server in a zone whose region
+// is not known is in none.
+func (r regions) contains(backend *table.BackendView, regionOf map[string]string) bool {
 	return r == nil || r[regionOf[backend.Zone]]
 }
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -11,48 +11,49 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// relay hands a stream on to the caller, whole events at a time: a server may
-// break off in the middle of one. Closing it ends the request.
+// relay passes a stream on to the caller, only in whole events, because a server may break off
+// in the middle of one. Closing it ends the request.
 type relay struct {
 	*generation
 	stream *Stream
-	// buffer holds what was read and not yet handed on, ready the length of
-	// the whole events in it.
+	// buffer holds bytes that were read and not passed on yet. ready is the length of the
+	// whole events in it.
 	buffer  []byte
 	ready   int
 	scratch []byte
-	// ended is the stream's end, once it was seen.
+	// ended is the error that ended the stream, once it was seen.
 	ended  error
 	events int
 	// lastID is the id of the last whole event.
-	lastID string
-	last   time.Time
-	gap    time.Duration
-	first  time.Duration
-	// reading is set if the engine had a prompt to read at the last event.
-	reading bool
-	closed  bool
-	// move is the stream's move to another engine while it is under way, moves counts
-	// them, and nextLook is when to look next whether it should move.
-	move     *move
-	moves    int
-	nextLook time.Time
-	// outgrown is the memory beyond which the stream takes more than was expected.
-	outgrown int
+	lastID          string
+	lastEventAt     time.Time
+	longestPause    time.Duration
+	firstEventAfter time.Duration
+	// promptPending is set if the engine had a prompt to read at the last event.
+	promptPending bool
+	closed        bool
+	// move is the stream's move to another engine while it is in progress. moves counts the
+	// moves, and nextMoveCheck is when to check next whether the stream should move.
+	move          *move
+	moves         int
+	nextMoveCheck time.Time
+	// plannedMemory is the memory above which the stream has outgrown its expected size, in
+	// tokens.
+	plannedMemory int
 }
 
-// relayRead is how much is read at once; an event has some hundred bytes.
+// relayRead is the size of one read in bytes. An event has some hundred bytes.
 const relayRead = 4 << 10
 
 func newRelay(g *generation, stream *Stream) *relay {
-	return &relay{generation: g, stream: stream, scratch: make([]byte, relayRead), last: clock.Now(), outgrown: g.committed}
+	return &relay{generation: g, stream: stream, scratch: make([]byte, relayRead), lastEventAt: clock.Now(), plannedMemory: g.committed}
 }
 
 // eventEnd is the empty line that ends an event (WHATWG, server-sent events).
 var eventEnd = []byte("\n\n")
 
-// Read implements io.Reader. It returns io.EOF only after the proper end of
-// the server's stream.
+// Read implements io.Reader. It returns io.EOF only after the proper end of the server's
+// stream.
 func (r *relay) Read(p []byte) (int, error) {
 	for r.ready == 0 && r.ended == nil {
 		r.fill()
@@ -75,58 +76,58 @@
 	r.buffer = append(r.buffer, r.scratch[:n]...)
 	if end := bytes.LastIndex(r.buffer, eventEnd); end >= 0 {
 		whole := r.buffer[:end+len(eventEnd)]
-		r.arrived(bytes.Count(whole, eventEnd))
+		r.recordEvents(bytes.Count(whole, eventEnd))
 		r.lastID = lastID(whole, r.lastID)
 		r.ready = len(whole)
-		r.considerMove(r.last)
+		r.considerMove(r.lastEventAt)
 	}
 	switch {
 	case err == nil:
 	case err == io.EOF:
-		// What follows the last event is the server's too.
+		// Bytes after the last event are part of the server's answer too.
 		r.ended = err
 		r.ready = len(r.buffer)
 	default:
-		r.goOn(err)
+		r.resumeAfterBreak(err)
 	}
 }
 
-// goOn takes a broken stream up at another engine, if that may be. What arrived
-// of an event that is not whole is dropped: it comes again.
-func (r *relay) goOn(broken error) {
+// resumeAfterBreak continues a broken stream at another engine, if that is allowed. The
+// received part of an incomplete event is dropped, because the event is sent again.
+func (r *relay) resumeAfterBreak(broken error) {
 	r.ended = broken
-	if r.moved() {
+	if r.resumeMoved() {
 		return
 	}
-	r.unwatch()
-	r.remember(r.ctx, r.decode, broken)
+	r.stopStallTimer()
+	r.recordSend(r.ctx, r.decode, broken)
 	if r.mayRerun() && clock.Now().Before(r.deadline) && (r.events == 0 || r.lastID != "") {
 		r.stream.Close()
-		r.cut()
+		r.cancelRun()
 		r.buffer = r.buffer[:r.ready]
-		r.behindLast()
+		r.resumeAfterLastEvent()
 		r.decode.Server.Breaker.Failure(clock.Now())
 		if stream, failed := r.rerun(broken); failed == nil {
-			r.takeUp(stream)
+			r.continueWith(stream)
 		}
 	}
 }
 
-// takeUp reads on from another engine's stream. An answer that is no stream of
-// events, as an engine's own failure, is not a part of the first engine's.
-func (r *relay) takeUp(next *Stream) {
+// continueWith reads on from another engine's stream. An answer that is not a stream of
+// events, such as the engine's own failure, is not appended to the first engine's stream.
+func (r *relay) continueWith(next *Stream) {
 	before := r.stream.Status
 	r.stream = next
 	if next.Status != before {
-		r.decide(stepRetry, "failed", "status", next.Status)
-		r.unwatch()
+		r.record(stepRetry, "failed", "status", next.Status)
+		r.stopStallTimer()
 		return
 	}
 	r.ended = nil
 }
 
-// behindLast has the next run go on behind the last whole event.
-func (r *relay) behindLast() {
+// resumeAfterLastEvent makes the next run continue after the last whole event.
+func (r *relay) resumeAfterLastEvent() {
 	if r.lastID == "" {
 		return
 	}
@@ -136,12 +137,10 @@
 	r.need = max(r.need, r.request.Generation.PromptTokens+r.generated()+int(float64(r.expected-r.generated())*r.margin()))
 }
 
-// idField begins the line of an event that holds its id (WHATWG, server-sent
-// events).
+// idField starts the line of an event that holds its id (WHATWG, server-sent events).
 var idField = []byte("id:")
 
-// lastID returns the id of the last event in whole that has one, or else the
-// one before.
+// lastID returns the id of the last event in whole that has one, or else before.
 func lastID(whole []byte, before string) string {
 	for line := range bytes.Lines(whole) {
 		if id, ok := bytes.CutPrefix(line, idField); ok {
@@ -151,28 +150,28 @@
 	return before
 }
 
-// arrived notes whole events.
-func (r *relay) arrived(events int) {
+// recordEvents records the arrival of whole events.
+func (r *relay) recordEvents(events int) {
 	now := clock.Now()
 	if r.events == 0 {
-		r.readDone()
-		r.first = now.Sub(r.request.Arrived)
-		r.Metrics.FirstToken.WithLabelValues(r.service.Name).Observe(r.first.Seconds())
+		r.endPromptRead()
+		r.firstEventAfter = now.Sub(r.request.Arrived)
+		r.Metrics.FirstToken.WithLabelValues(r.service.Name).Observe(r.firstEventAfter.Seconds())
 	} else {
-		r.paused(now.Sub(r.last))
+		r.recordPause(now.Sub(r.lastEventAt))
 	}
-	r.reading = r.decode.Server.WaitingTokens() > 0
-	r.last = now
+	r.promptPending = r.decode.Server.WaitingTokens() > 0
+	r.lastEventAt = now
 	r.events += events
-	r.alive(r.events)
+	r.resetStallTimer(r.events)
 	r.grow(r.request.Generation.PromptTokens + r.generated())
 }
 
-// paused notes a pause between two events.
-func (r *relay) paused(pause time.Duration) {
-	r.gap = max(r.gap, pause)
+// recordPause records a pause between two events.
+func (r *relay) recordPause(pause time.Duration) {
+	r.longestPause = max(r.longestPause, pause)
 	seen := r.pausesOf(r.service.Name)
-	if r.reading || r.decode.Server.WaitingTokens() > 0 {
+	if r.promptPending || r.decode.Server.WaitingTokens() > 0 {
 		seen.reading.Observe(pause)
 		return
 	}
@@ -186,21 +185,21 @@
 	}
 	r.closed = true
 	r.cancelMove()
-	r.unwatch()
+	r.stopStallTimer()
 	r.stream.Close()
-	r.cut()
-	r.free()
+	r.cancelRun()
+	r.releaseDecode()
 	departed := r.ctx.Err() != nil && clock.Now().Before(r.deadline)
 	r.cancel()
-	r.leave()
+	r.release()
 	if r.ended == io.EOF {
-		r.completed()
+		r.recordCompleted()
 	}
-	if r.ended == io.EOF && r.events > 0 && !r.partial {
+	if r.ended == io.EOF && r.events > 0 && !r.resumed {
 		r.sizesOf(r.service.Name).Ended(r.expected, r.generated())
 	}
 	why, detail := r.reason(departed)
-	r.decide(stepStream, resultOf(r.ended), "events", r.events, "firstMillis", r.first.Milliseconds(), "longestGapMillis", r.gap.Milliseconds())
+	r.record(stepStream, resultOf(r.ended), "events", r.events, "firstMillis", r.firstEventAfter.Milliseconds(), "longestGapMillis", r.longestPause.Milliseconds())
 	r.close(r.stream.Status, why, detail)
 	return nil
 }
@@ -208,7 +207,7 @@
 func (r *relay) reason(departed bool) (reason.Reason, string) {
 	switch {
 	case r.ended == io.EOF:
-		return served(r.stream.Status), ""
+		return answerReason(r.stream.Status), ""
 	case departed:
 		return reason.CallerGone, ""
 	case r.ended != nil:
@@ -218,7 +217,7 @@
 	}
 }
 
-// logNotReturned says that a request's leavings have to lapse by themselves.
-func logNotReturned(request, what, server string, err error) {
-	klog.InfoS("Not given back; it lapses", "request", request, "what", what, "server", server, "err", err.Error())
+// logNotReleased logs that a resource of a request was not released and has to expire.
+func logNotReleased(request, what, server string, err error) {
+	klog.InfoS("Failed to release a resource, which now has to expire", "request", request, "what", what, "server", server, "err", err.Error())
 }
--- a/forward/rerun.go
+++ b/forward/rerun.go
@@ -10,30 +10,29 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// A stream whose engine crashes, breaks off or falls silent goes on at another
-// one, behind the last whole event that its caller has, where its route allows
-// it. Its caller would wait for a silent one until it gives up, then come back
-// and have its prompt read anew all the same.
+// A stream whose engine crashes, breaks off or falls silent continues at another engine, after
+// the last whole event that its caller has, if its route allows it. Otherwise the caller of a
+// silent stream waits until it gives up, and then comes back to have its prompt read again all
+// the same.
 
-// mayRerun says whether the request may run at one more engine.
+// mayRerun reports whether the request may run at one more engine.
 func (g *generation) mayRerun() bool {
 	return !g.noRerun && g.route.Repeat == table.RepeatResume && g.runs < g.route.Attempts && g.ctx.Err() == nil && g.mayRepeat()
 }
 
-// rerun has the request run at another engine than the last, behind the last
-// event.
+// rerun runs the request at another engine, after the last event that the caller has.
 func (g *generation) rerun(why error) (*Stream, *stepError) {
-	failed := &stepError{why: reason.StreamBroken, detail: why.Error(), lost: why}
+	failed := &stepError{why: reason.StreamBroken, detail: why.Error(), unknownOutcome: why}
 	g.noRerun = true
 	if !g.Budget(g.service.Name).Spend(clock.Now()) {
-		g.decide(stepRetry, "no", "why", reason.StreamBroken, "runs", g.runs, "budgetLeft", 0)
+		g.record(stepRetry, "no", "why", reason.StreamBroken, "runs", g.runs, "budgetLeft", 0)
 		return nil, failed
 	}
 	g.Metrics.Retried(reason.StreamBroken)
-	g.decide(stepRetry, "rerun", "why", reason.StreamBroken, "cause", why.Error(), "runs", g.runs, "behind", g.request.LastEvent)
-	g.free()
-	g.returnTaken()
-	g.broken = append(g.broken, g.decode.Name)
+	g.record(stepRetry, "rerun", "why", reason.StreamBroken, "cause", why.Error(), "runs", g.runs, "behind", g.request.LastEvent)
+	g.releaseDecode()
+	g.releaseUnused()
+	g.brokenAt = append(g.brokenAt, g.decode.Name)
 	g.tried = g.tried[:0]
 	now := clock.Now()
 	g.since, g.target = now, now.Add(g.route.TTFT)
@@ -43,25 +42,24 @@
 		}
 	}
 	g.noRerun = false
-	return g.begin()
+	return g.startDecode()
 }
 
-// readAgain has the prompt read once more. Other than the first, such a prefill
-// counts against the budget.
+// readAgain has the prompt read once more. Unlike the first prefill, this one counts against
+// the retry budget.
 func (g *generation) readAgain() *stepError {
 	if !g.readAtDecode && !g.Budget(g.service.Name).Spend(clock.Now()) {
 		g.readAtDecode = true
 	}
-	return g.read()
+	return g.readPrompt()
 }
 
-// stallPauses is how many of the longest pauses in time, with no event, make a
-// stream count as stalled: a preempted request pauses for one or two while its
-// prompt is read anew, and a caller waits for eight (source: the users'
-// protocol).
+// stallPauses is the silence after which a stream counts as stalled, as a multiple of the
+// longest tolerated pause between events. A preempted request pauses for one or two of them
+// while its prompt is read again, and a caller waits for eight (source: the users' protocol).
 const stallPauses = 3
 
-// stallAfter is the silence after which a run counts as stalled.
+// stallAfter returns the silence after which a run counts as stalled.
 func (g *generation) stallAfter(events int) time.Duration {
 	if events == 0 {
 		return g.route.TTFT
@@ -69,11 +67,11 @@
 	return stallPauses * g.route.TBT
 }
 
-// watch returns a context for one run that ends when the run stalls and can go
-// on elsewhere. A server's silence alone ends no answer.
-func (g *generation) watch() (context.Context, context.CancelFunc) {
+// watchForStall returns a context for one run that ends when the run stalls and can continue
+// at another engine. The silence of a server alone ends no answer.
+func (g *generation) watchForStall() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(g.ctx)
-	g.stall = nil
+	g.stallTimer = nil
 	if !g.mayRerun() {
 		return ctx, cancel
 	}
@@ -86,49 +84,49 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if g.Gateway.hasRoomBeside(at, service, need, allowed) {
+		if g.Gateway.hasRoomElsewhere(at, service, need, allowed) {
 			cancel()
 			return
 		}
 		stall.Reset(recheck)
 	})
-	g.stall = stall
+	g.stallTimer = stall
 	close(ready)
 	return ctx, cancel
 }
 
-// rerunRetries is what a run at another engine takes from the budget: the run
-// itself and the reading of its prompt.
-const rerunRetries = 2
+// rerunCost is what a run at another engine takes from the retry budget: the run itself and
+// the reading of its prompt.
+const rerunCost = 2
 
-// hasRoomBeside says whether another engine than one, in the allowed regions, would take a
-// run of so much memory, and whether the budget allows it.
-func (g *Gateway) hasRoomBeside(one, service string, need int, allowed regions) bool {
-	if g.Budget(service).Left(clock.Now()) < rerunRetries {
+// hasRoomElsewhere reports whether an engine other than excluded, in the allowed regions,
+// would accept a run that needs that much memory, and whether the retry budget allows it.
+func (g *Gateway) hasRoomElsewhere(excluded, service string, need int, allowed regions) bool {
+	if g.Budget(service).Left(clock.Now()) < rerunCost {
 		return false
 	}
 	for _, backend := range g.View.Servers().Decode[service] {
 		server := g.Fleet.Server(backend.Name)
-		if backend.Name == one || backend.Drain || !allowed.hold(backend, g.RegionOf) || server == nil || server.Pressure.Look(backpressure.ReserveWork, clock.Now()) != backpressure.Clear {
+		if backend.Name == excluded || backend.Drain || !allowed.contains(backend, g.RegionOf) || server == nil || server.Pressure.Look(backpressure.ReserveWork, clock.Now()) != backpressure.Clear {
 			continue
 		}
-		if backend.MemoryTokens == 0 || g.freeAt(backend) >= need {
+		if backend.MemoryTokens == 0 || g.freeMemoryAt(backend) >= need {
 			return true
 		}
 	}
 	return false
 }
 
-// alive notes an event of the run.
-func (g *generation) alive(events int) {
-	if g.stall != nil {
-		g.stall.Reset(g.stallAfter(events))
+// resetStallTimer restarts the stall timer after an event of the run.
+func (g *generation) resetStallTimer(events int) {
+	if g.stallTimer != nil {
+		g.stallTimer.Reset(g.stallAfter(events))
 	}
 }
 
-// unwatch ends the watch over the run.
-func (g *generation) unwatch() {
-	if g.stall != nil {
-		g.stall.Stop()
+// stopStallTimer ends the monitoring of the run.
+func (g *generation) stopStallTimer() {
+	if g.stallTimer != nil {
+		g.stallTimer.Stop()
 	}
 }
--- a/forward/team.go
+++ b/forward/team.go
@@ -9,22 +9,22 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Allotments decides how much of what a team may use is left, over all instances.
+// Allotments decides how much of its allotment a team has left, over all instances.
 type Allotments interface {
 	// Admit counts a request of a team if it may be served.
 	Admit(team string, cost float64, now time.Time) allotment.Decision
-	// Return gives back what was counted for a request that never ran.
+	// Return refunds the cost of a request that never ran.
 	Return(team string, cost float64, now time.Time)
 }
 
-// authenticate finds the team that a request is for; it ends one that shows no key of the
-// table. Which key it was stands in the log as the short digest that operators see.
+// authenticate finds the team that a request belongs to, and ends a request without a key of
+// the table. The log shows the key as the short digest that operators see.
 func (f *flow) authenticate(view *table.View) *Reply {
 	if !view.Keyed || f.route.Public {
 		return nil
 	}
 	if !f.request.HasKey {
-		return f.end(&Reply{Status: statusUnknownKey, Reason: reason.UnknownKey}, "no key")
+		return f.end(&Reply{Status: statusUnknownKey, Reason: reason.UnknownKey}, "the request has no API key")
 	}
 	team := view.Keys[f.request.Key]
 	if team == nil {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// charge counts a request against its team's allotment; it ends one that is beyond it.
+// charge counts a request against its team's allotment, and ends a request that exceeds it.
 func (f *flow) charge() *Reply {
 	if f.team == nil || f.team.Allotment.Rate == 0 {
 		return nil
@@ -48,17 +48,17 @@
 	now := clock.Now()
 	made := f.Allotments.Admit(f.team.Name, cost, now)
 	if made.Admitted {
-		f.charged, f.used = cost, made.Used
+		f.charged, f.allotmentUsed = cost, made.Used
 		return nil
 	}
-	f.decide(stepAllot, "over", "team", made.Team, "cost", made.Cost, "left", int(made.Left), "share", made.Share, "knownMillis", made.Known.Milliseconds())
-	// Those who were refused together do not return together.
+	f.record(stepAllot, "over", "team", made.Team, "cost", made.Cost, "left", int(made.Left), "share", made.Share, "knownMillis", made.Known.Milliseconds())
+	// The random part keeps callers that were refused together from returning together.
 	wait := made.Wait + time.Duration(f.Random()*float64(f.config.AllotmentSpread))
-	return f.end(&Reply{Status: statusOverLimit, Reason: reason.OverAllotment, RetryAfter: max(wait, f.config.AllotmentSpread/2)}, "the team has used what it may")
+	return f.end(&Reply{Status: statusOverLimit, Reason: reason.OverAllotment, RetryAfter: max(wait, f.config.AllotmentSpread/2)}, "the team has used up its allotment")
 }
 
-// discharge gives back what was counted for a request that never ran.
-func (f *flow) discharge(outcome reason.Outcome) {
+// refund returns the cost of a request that never ran to its team's allotment.
+func (f *flow) refund(outcome reason.Outcome) {
 	if f.charged > 0 && outcome == reason.NotRun {
 		f.Allotments.Return(f.team.Name, f.charged, clock.Now())
 	}
