--- a/forward/crowd_engines_test.go
+++ b/forward/crowd_engines_test.go
@@ -14,38 +14,38 @@
 	"github.com/mastwheel/mastwheel/registry"
 )
 
-// The engines of a crowd: their memory, their queues, and how instances call them.
+// The engines of a simulation: their memory, their queues, and the calls of instances.
 
-// crowdEngine is one engine with its memory.
-type crowdEngine struct {
-	*crowd
+// simEngine is one engine with its memory.
+type simEngine struct {
+	*simulation
 	mu sync.Mutex
-	// held is the memory of reservations not yet used, by name.
-	held map[Reservation]int
-	next int
-	runs []*crowdRun
-	// waiting are the runs that were preempted.
-	waiting []*crowdRun
-	// stalled is until when the engine reads a prompt, and all its streams wait.
-	stalled time.Time
-	// readBy is when the prompts that a prefill engine has got are read.
-	readBy time.Time
-}
-
-// crowdRun is one stream at an engine.
-type crowdRun struct {
-	tokens, cover int
-	events        int
-	preempted     bool
-	gone          bool
-}
-
-func (r *crowdRun) memory() int { return max(r.tokens, r.cover) }
-
-// used is the memory that cannot yield. The caller holds the lock.
-func (e *crowdEngine) used() int {
+	// reservations holds the tokens of each unused reservation.
+	reservations map[Reservation]int
+	next         int
+	runs         []*simRun
+	// waiting holds the preempted runs.
+	waiting []*simRun
+	// busyUntil is the end of the prefills at a decode engine. Its streams wait until then.
+	busyUntil time.Time
+	// prefillBusyUntil is the end of all queued prefills at a prefill engine.
+	prefillBusyUntil time.Time
+}
+
+// simRun is one stream at an engine.
+type simRun struct {
+	tokens, reserved int
+	events           int
+	preempted        bool
+	ended            bool
+}
+
+func (r *simRun) memory() int { return max(r.tokens, r.reserved) }
+
+// used returns the memory of all runs and reservations. The caller holds the lock.
+func (e *simEngine) used() int {
 	used := 0
-	for _, tokens := range e.held {
+	for _, tokens := range e.reservations {
 		used += tokens
 	}
 	for _, run := range e.runs {
@@ -54,62 +54,63 @@
 	return used
 }
 
-func (e *crowdEngine) reserve(tokens int) (Reservation, bool) {
+func (e *simEngine) reserve(tokens int) (Reservation, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.used()+tokens > crowdMemory || len(e.runs)+len(e.held) >= crowdSlots || len(e.waiting) > 0 {
+	if e.used()+tokens > simMemoryTokens || len(e.runs)+len(e.reservations) >= simSlots || len(e.waiting) > 0 {
 		return "", false
 	}
 	e.next++
 	name := Reservation(fmt.Sprint(e.next))
-	e.held[name] = tokens
+	e.reservations[name] = tokens
 	return name, true
 }
 
-// begin admits a run with its reservation.
-func (e *crowdEngine) begin(reservation Reservation, prompt, events int) *crowdRun {
+// begin starts a run, which uses up its reservation.
+func (e *simEngine) begin(reservation Reservation, prompt, events int) *simRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	run := &crowdRun{tokens: prompt, cover: e.held[reservation], events: events}
-	delete(e.held, reservation)
+	run := &simRun{tokens: prompt, reserved: e.reservations[reservation], events: events}
+	delete(e.reservations, reservation)
 	e.runs = append(e.runs, run)
 	return run
 }
 
-func (e *crowdEngine) end(run *crowdRun) {
+func (e *simEngine) end(run *simRun) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	run.gone = true
-	e.runs = slices.DeleteFunc(e.runs, func(r *crowdRun) bool { return r == run })
-	e.waiting = slices.DeleteFunc(e.waiting, func(r *crowdRun) bool { return r == run })
-	for len(e.waiting) > 0 && e.used()+e.waiting[0].tokens+eventTokens <= crowdMemory {
+	run.ended = true
+	e.runs = slices.DeleteFunc(e.runs, func(r *simRun) bool { return r == run })
+	e.waiting = slices.DeleteFunc(e.waiting, func(r *simRun) bool { return r == run })
+	for len(e.waiting) > 0 && e.used()+e.waiting[0].tokens+eventTokens <= simMemoryTokens {
 		back := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		back.preempted = false
 		e.runs = append(e.runs, back)
-		e.read(back.tokens)
+		e.prefill(back.tokens)
 	}
 }
 
-// read has a decode engine read a prompt: its streams wait. The caller holds the lock.
-func (e *crowdEngine) read(tokens int) {
+// prefill makes a decode engine prefill a prompt, which delays its streams. The caller
+// holds the lock.
+func (e *simEngine) prefill(tokens int) {
 	from := time.Now()
-	if e.stalled.After(from) {
-		from = e.stalled
+	if e.busyUntil.After(from) {
+		from = e.busyUntil
 	}
-	e.stalled = from.Add(time.Duration(float64(tokens) / (readPerMilli / decodeReadFactor) * float64(time.Millisecond)))
+	e.busyUntil = from.Add(time.Duration(float64(tokens) / (prefillTokensPerMs / decodeReadFactor) * float64(time.Millisecond)))
 }
 
-// grow takes the memory of one event; the newest run that its reservation does not
-// cover is preempted where there is none left.
-func (e *crowdEngine) grow(run *crowdRun) {
+// grow takes the memory of one event. While the memory is exceeded, the newest run that
+// has outgrown its reservation is preempted.
+func (e *simEngine) grow(run *simRun) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	run.tokens += eventTokens
-	for e.used() > crowdMemory {
+	for e.used() > simMemoryTokens {
 		victim := -1
 		for i, one := range e.runs {
-			if one.tokens > one.cover {
+			if one.tokens > one.reserved {
 				victim = i
 			}
 		}
@@ -118,14 +119,15 @@
 		}
 		one := e.runs[victim]
 		e.runs = slices.Delete(e.runs, victim, victim+1)
-		one.preempted, one.cover = true, 0
+		one.preempted, one.reserved = true, 0
 		e.waiting = append(e.waiting, one)
-		e.noted.preempted.Add(one.tokens)
+		e.counts.preempted.Add(one.tokens)
 	}
 }
 
-// pause is how long the next event of a stream takes, and whether it waits.
-func (e *crowdEngine) pause(run *crowdRun) (time.Duration, bool) {
+// eventDelay returns the time until the next event of a stream. For a preempted run it
+// returns the time until the next check, and true.
+func (e *simEngine) eventDelay(run *simRun) (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if run.preempted {
@@ -135,29 +137,29 @@
 	return time.Duration(eventTokens * step * float64(time.Millisecond)), false
 }
 
-// crowdStream is a stream of events.
-type crowdStream struct {
+// simStream is a stream of events.
+type simStream struct {
 	ctx    context.Context
-	engine *crowdEngine
-	run    *crowdRun
+	engine *simEngine
+	run    *simRun
 	sent   int
 }
 
-// Read implements io.Reader, an event at a time.
-func (s *crowdStream) Read(p []byte) (int, error) {
+// Read implements io.Reader. Each call returns one event.
+func (s *simStream) Read(p []byte) (int, error) {
 	if s.sent == s.run.events {
 		return 0, io.EOF
 	}
 	for waits := true; waits; {
 		var pause time.Duration
-		pause, waits = s.engine.pause(s.run)
+		pause, waits = s.engine.eventDelay(s.run)
 		if !s.sleep(pause) {
 			return 0, s.ctx.Err()
 		}
 	}
 	for {
 		s.engine.mu.Lock()
-		left := time.Until(s.engine.stalled)
+		left := time.Until(s.engine.busyUntil)
 		s.engine.mu.Unlock()
 		if left <= 0 {
 			break
@@ -171,7 +173,7 @@
 	return copy(p, fmt.Sprintf("id: %d\ndata: x\n\n", s.sent)), nil
 }
 
-func (s *crowdStream) sleep(d time.Duration) bool {
+func (s *simStream) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -181,24 +183,24 @@
 }
 
 // Close implements io.Closer.
-func (s *crowdStream) Close() error {
+func (s *simStream) Close() error {
 	s.engine.end(s.run)
 	return nil
 }
 
-// crowdBackends is the engines as an instance calls them.
-type crowdBackends struct{ *crowd }
+// simBackends implements Backends on the engines of a simulation.
+type simBackends struct{ *simulation }
 
-// HasEnded implements Backends: none does.
-func (crowdBackends) HasEnded(context.Context, *registry.Entry) bool { return false }
+// HasEnded implements Backends. No engine exits.
+func (simBackends) HasEnded(context.Context, *registry.Entry) bool { return false }
 
 // Call implements Backends.
-func (crowdBackends) Call(context.Context, *registry.Entry, *Request, time.Time) (*Answer, error) {
-	return nil, errors.New("no plain calls here")
+func (simBackends) Call(context.Context, *registry.Entry, *Request, time.Time) (*Answer, error) {
+	return nil, errors.New("the simulation has no plain calls")
 }
 
 // Reserve implements Backends.
-func (c crowdBackends) Reserve(_ context.Context, server *registry.Entry, tokens int, _ time.Duration) (Reservation, error) {
+func (c simBackends) Reserve(_ context.Context, server *registry.Entry, tokens int, _ time.Duration) (Reservation, error) {
 	time.Sleep(2 * time.Millisecond)
 	if reservation, ok := c.engines[server.ID].reserve(tokens); ok {
 		return reservation, nil
@@ -207,39 +209,39 @@
 }
 
 // Release implements Backends.
-func (c crowdBackends) Release(_ context.Context, server *registry.Entry, reservation Reservation) error {
+func (c simBackends) Release(_ context.Context, server *registry.Entry, reservation Reservation) error {
 	engine := c.engines[server.ID]
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	delete(engine.held, reservation)
+	delete(engine.reservations, reservation)
 	return nil
 }
 
 // Prefill implements Backends.
-func (c crowdBackends) Prefill(_ context.Context, server *registry.Entry, r *Request, _ time.Time) (Prefilled, error) {
+func (c simBackends) Prefill(_ context.Context, server *registry.Entry, r *Request, _ time.Time) (Prefilled, error) {
 	engine := c.engines[server.ID]
 	engine.mu.Lock()
 	now := time.Now()
-	if engine.readBy.Before(now) {
-		engine.readBy = now
+	if engine.prefillBusyUntil.Before(now) {
+		engine.prefillBusyUntil = now
 	}
-	engine.readBy = engine.readBy.Add(time.Duration(float64(r.Generation.PromptTokens) / readPerMilli * float64(time.Millisecond)))
-	wait := engine.readBy.Sub(now)
+	engine.prefillBusyUntil = engine.prefillBusyUntil.Add(time.Duration(float64(r.Generation.PromptTokens) / prefillTokensPerMs * float64(time.Millisecond)))
+	wait := engine.prefillBusyUntil.Sub(now)
 	engine.mu.Unlock()
 	time.Sleep(wait)
 	return "read", nil
 }
 
 // Move implements Backends.
-func (crowdBackends) Move(context.Context, *registry.Entry, *registry.Entry, *Request, bool) (Prefilled, error) {
+func (simBackends) Move(context.Context, *registry.Entry, *registry.Entry, *Request, bool) (Prefilled, error) {
 	return "", &NotRun{Why: reason.BackendRefused, Sent: true}
 }
 
 // Free implements Backends.
-func (crowdBackends) Free(context.Context, *registry.Entry, Prefilled) error { return nil }
+func (simBackends) Free(context.Context, *registry.Entry, Prefilled) error { return nil }
 
 // Decode implements Backends.
-func (c crowdBackends) Decode(ctx context.Context, server *registry.Entry, r *Request, order DecodeOrder, _ time.Time) (*Stream, error) {
+func (c simBackends) Decode(ctx context.Context, server *registry.Entry, r *Request, order DecodeOrder, _ time.Time) (*Stream, error) {
 	engine := c.engines[server.ID]
 	var events int
 	if _, err := fmt.Sscan(r.Target, &events); err != nil {
@@ -248,8 +250,8 @@
 	run := engine.begin(order.Reservation, r.Generation.PromptTokens, events)
 	if order.Result == "" {
 		engine.mu.Lock()
-		engine.read(r.Generation.PromptTokens)
+		engine.prefill(r.Generation.PromptTokens)
 		engine.mu.Unlock()
 	}
-	return &Stream{Status: 200, ReadCloser: &crowdStream{ctx: ctx, engine: engine, run: run}}, nil
+	return &Stream{Status: 200, ReadCloser: &simStream{ctx: ctx, engine: engine, run: run}}, nil
 }
--- a/forward/crowd_teams_test.go
+++ b/forward/crowd_teams_test.go
@@ -8,18 +8,19 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Teams of a crowd: one that has used up what it may, and one that asks for little.
+// Teams of a simulation: hotTeam has used up its allotment, quietTeam sends few requests.
 const (
 	hotTeam, quietTeam = "hot", "quiet"
-	// usedByHot and usedByQuiet are what they have used of their allotments.
+	// usedByHot and usedByQuiet are the fractions of their allotments that are used.
 	usedByHot, usedByQuiet = 1.0, 0.1
 )
 
-// crowdAllotments admits all requests, and says how much of its allotment a team has used.
-type crowdAllotments struct{}
+// simAllotments admits all requests and reports the fraction of its allotment that a team
+// has used.
+type simAllotments struct{}
 
 // Admit implements Allotments.
-func (crowdAllotments) Admit(team string, cost float64, _ time.Time) allotment.Decision {
+func (simAllotments) Admit(team string, cost float64, _ time.Time) allotment.Decision {
 	used := usedByQuiet
 	if team == hotTeam {
 		used = usedByHot
@@ -28,10 +29,10 @@
 }
 
 // Return implements Allotments.
-func (crowdAllotments) Return(string, float64, time.Time) {}
+func (simAllotments) Return(string, float64, time.Time) {}
 
-// haveTeams has the crowd's table hold the two teams.
-func (c *crowd) haveTeams() {
+// setTeams adds the two teams to the simulation's table.
+func (c *simulation) setTeams() {
 	limit := table.Allotment{Unit: table.UnitTokens, Rate: 1}
 	for _, g := range c.gateways {
 		view := *g.View.Table()
@@ -41,12 +42,12 @@
 			view.Keys[table.DigestOf(team)] = &table.TeamView{Name: team, Keyed: true, Allotment: limit}
 		}
 		g.View.(*testView).view = &view
-		g.Allotments = crowdAllotments{}
+		g.Allotments = simAllotments{}
 	}
 }
 
-// sign has a request show its team's key, if there are teams.
-func (c *crowd) sign(r *Request, isQuiet bool) {
+// setKey sets the key of a request's team, if the simulation has teams.
+func (c *simulation) setKey(r *Request, isQuiet bool) {
 	team := hotTeam
 	if isQuiet {
 		team = quietTeam
@@ -54,25 +55,26 @@
 	r.Key, r.HasKey = table.DigestOf(team), c.load.hot > 0
 }
 
-// Beside a team that asks for five times as much, half as much again as the engines can
-// hold, the streams of one that keeps to a part of its allotment find room.
+// The hot team sends five times as many requests as the quiet one, and together they send
+// half as much again as the engines can hold. The quiet team, which uses only a part of its
+// allotment, must still get memory for its streams.
 func TestAQuietTeamFindsRoomBesideAHotOne(t *testing.T) {
-	quiet(t)
-	alike := DefaultConfig()
-	alike.TeamYield = 0
+	discardLogs(t)
+	noYield := DefaultConfig()
+	noYield.TeamYield = 0
 	served := func(config Config) (ofQuiet, ofAll float64) {
 		var inTime, asked, all, allAsked int
-		for seed := range uint64(crowdSeeds) {
-			c := playCrowd(t, config, crowdLoad{rate: 1.5 * crowdRate, hot: 5.0 / 6}, seed)
-			inTime, asked = inTime+c.quiet.inTime.count, asked+c.quiet.asked.count
-			all, allAsked = all+c.noted.inTime.count, allAsked+c.noted.asked.count
+		for seed := range uint64(simSeeds) {
+			c := simulate(t, config, simLoad{rate: 1.5 * simRate, hot: 5.0 / 6}, seed)
+			inTime, asked = inTime+c.quiet.inTime.count, asked+c.quiet.requested.count
+			all, allAsked = all+c.counts.inTime.count, allAsked+c.counts.requested.count
 		}
 		return float64(inTime) / float64(asked), float64(all) / float64(allAsked)
 	}
-	before, allBefore := served(alike)
+	before, allBefore := served(noYield)
 	after, allAfter := served(DefaultConfig())
-	t.Logf("in time: of the quiet team %.3f, of all %.3f; where none yields %.3f, %.3f", after, allAfter, before, allBefore)
+	t.Logf("in time: quiet team %.3f, all %.3f; without TeamYield %.3f, %.3f", after, allAfter, before, allBefore)
 	if after <= before || after <= allAfter {
-		t.Error("the quiet team has no more of the memory than before, or than the hot one")
+		t.Error("the quiet team does no better than without TeamYield, or than all requests")
 	}
 }
