--- a/member/listing.go
+++ b/member/listing.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// listing is what the platform's list last said. The list lags, so it only
-// ever adds to what heartbeats say: it can mark a member as leaving, and it
-// can confirm that a silent one is gone.
+// listing is the platform's last instance list. The list lags, so it only supplements
+// heartbeats: it can mark a member as leaving, and it can confirm that a silent member
+// is gone.
 type listing struct {
-	// shown holds every instance that the list ever showed; true while it does.
+	// shown holds every instance that the list ever showed. The value is true while the
+	// list shows it.
 	shown   map[string]bool
 	leaving map[string]bool
-	// read is set once the list was read.
-	read bool
+	// received is set once a list was received.
+	received bool
 }
 
 func newListing() listing {
 	return listing{shown: make(map[string]bool), leaving: make(map[string]bool)}
 }
 
-// isGone says whether the list no longer shows the instance. One that was
-// heard must have been shown once, since a new instance is shown late; one
-// that was only introduced by others need not.
+// isGone reports whether the list no longer shows the instance. A member that has sent
+// heartbeats must have been on the list before, since new instances appear there late.
+// A member that is only known from others need not have been.
 func (l listing) isGone(name string, introduced bool) bool {
 	shows, ever := l.shown[name]
-	return l.read && !shows && (ever || introduced)
+	return l.received && !shows && (ever || introduced)
 }
 
-// Listed takes in the platform's list: the names that it shows, each true
-// when it is leaving.
+// Listed applies the platform's instance list: the names on it, each with true if the
+// instance is leaving.
 func (m *Members) Listed(names map[string]bool, now time.Time) {
 	m.mu.Lock()
 	for name := range m.listed.shown {
 		m.listed.shown[name] = false
 	}
-	m.listed.read = true
+	m.listed.received = true
 	m.listed.leaving = names
 	for name := range names {
 		m.listed.shown[name] = true
@@ -42,7 +43,7 @@
 	m.Tick(now)
 }
 
-// forgetListed drops names that neither the list nor a heartbeat knows.
+// forgetListed drops names that are neither on the list nor known members.
 func (m *Members) forgetListed() {
 	for name, shows := range m.listed.shown {
 		if _, known := m.siblings[name]; !shows && !known {
--- a/member/member.go
+++ b/member/member.go
@@ -1,6 +1,5 @@
-// Package member decides which sibling instances are alive, from their
-// heartbeats and from the platform's lagging list. It does no I/O and reads no
-// clock.
+// Package member decides which sibling instances are alive, from their heartbeats and
+// from the platform's lagging instance list. It does no I/O and reads no clock.
 package member
 
 import (
@@ -14,45 +13,46 @@
 	"github.com/mastwheel/mastwheel/operation"
 )
 
-// State is what this instance believes of a sibling.
+// State is the state of a sibling in this instance's view.
 type State string
 
 const (
 	Alive State = "alive"
-	// Suspect has been silent for a while: it gets no new work and keeps what
-	// it has.
+	// Suspect: the sibling has been silent for SuspectAfter. It gets no new work and
+	// keeps what it has.
 	Suspect State = "suspect"
-	// Dead has been silent for long: what it left behind is cleaned up.
+	// Dead: the sibling has been silent for long enough that the work it left behind is
+	// cleaned up.
 	Dead State = "dead"
-	// Leaving drains: it is not named to callers, and it still serves.
+	// Leaving: the sibling is draining. It is no longer named to callers, and it still
+	// serves.
 	Leaving State = "leaving"
 )
 
-// Config tunes failure detection.
+// Config sets the parameters of failure detection.
 type Config struct {
-	// HeartbeatEvery is the period of heartbeats. Shorter finds failures
-	// sooner and costs bytes in proportion to the members of a cell.
+	// HeartbeatEvery is the interval between heartbeats. A shorter one detects failures
+	// sooner, and costs bandwidth in proportion to the members of a cell.
 	HeartbeatEvery time.Duration
-	// SuspectAfter is the silence after which a member gets no new work. It
-	// should outlast a few lost heartbeats and an ordinary pause.
+	// SuspectAfter is the silence after which a member gets no new work. It should be
+	// longer than a few lost heartbeats and an ordinary pause.
 	SuspectAfter time.Duration
-	// DeadAfter is the silence, towards every sibling that was asked, after
-	// which a member that the platform's list no longer shows counts as dead
-	// and its streams are cancelled. Too short cancels the work of an instance
-	// that was merely paused; too long holds decode memory for callers that
-	// are gone.
+	// DeadAfter is the silence, towards every sibling that was queried, after which a
+	// member that is no longer on the platform's list counts as dead and its streams
+	// are cancelled. If it is too short, the work of an instance that was only paused
+	// is cancelled. If it is too long, decode memory is held for callers that are gone.
 	DeadAfter time.Duration
-	// AbandonAfter is the silence after which a member counts as dead whatever
-	// the list shows: the list may be down or wrong. It must outlast the
+	// AbandonAfter is the silence after which a member counts as dead even if the list
+	// shows it, since the list may be unavailable or wrong. It must be longer than the
 	// partitions that streams are meant to survive.
 	AbandonAfter time.Duration
-	// ForgetAfter is how long a dead member is remembered, so that its
-	// incarnation is known to be dead and not merely unknown.
+	// ForgetAfter is how long a dead member is remembered, so that its incarnation is
+	// known to be dead rather than unknown.
 	ForgetAfter time.Duration
 }
 
-// DefaultCell suits cells of a larger region: heartbeats half as often, and
-// more patience to match.
+// DefaultCell returns the settings for cells of a larger region: heartbeats half as
+// often, and a longer SuspectAfter to match.
 func DefaultCell() Config {
 	config := DefaultRegion()
 	config.HeartbeatEvery = time.Second
@@ -60,7 +60,8 @@
 	return config
 }
 
-// DefaultRegion suits instances of one region, a few milliseconds apart.
+// DefaultRegion returns the settings for instances of one region, a few milliseconds
+// apart.
 func DefaultRegion() Config {
 	return Config{
 		HeartbeatEvery: 500 * time.Millisecond,
@@ -71,34 +72,35 @@
 	}
 }
 
-// Info is what an instance says about itself in a heartbeat.
+// Info is what an instance reports about itself in a heartbeat.
 type Info struct {
 	Name        string                `cbor:"1,keyasint" json:"name"`
 	Incarnation operation.Incarnation `cbor:"2,keyasint" json:"incarnation"`
-	// Zone, Caller and Peer do not change while an instance runs. Most
-	// heartbeats leave them out.
+	// Zone, Caller and Peer do not change while an instance runs. Most heartbeats leave
+	// them out.
 	Zone string `cbor:"3,keyasint,omitempty" json:"zone"`
-	// Caller is the TCP address for callers, and Peer the UDP address for
-	// siblings, each "ip:port".
+	// Caller is the TCP address for callers, and Peer the UDP address for siblings,
+	// each "ip:port".
 	Caller string `cbor:"4,keyasint,omitempty" json:"caller"`
 	Peer   string `cbor:"5,keyasint,omitempty" json:"peer"`
-	// Draining is set once the instance has begun a graceful shutdown.
+	// Draining is set once the instance has started a graceful shutdown.
 	Draining bool `cbor:"6,keyasint,omitempty" json:"draining,omitempty"`
-	// Uptime is the instance's monotonic clock when it sent the heartbeat.
+	// Uptime is the reading of the instance's monotonic clock when it sent the
+	// heartbeat.
 	Uptime time.Duration `cbor:"7,keyasint" json:"uptime"`
-	// Revision is the table revision in force there, and Next the log offset
+	// Revision is the table revision in force on the instance, and Next the log offset
 	// that it needs next.
 	Revision uint64 `cbor:"8,keyasint" json:"revision"`
 	Next     uint64 `cbor:"10,keyasint" json:"next_offset"`
-	// InFlight is the number of requests that it is the home of.
+	// InFlight is the number of requests whose home is the instance.
 	InFlight int `cbor:"9,keyasint" json:"in_flight"`
 	// Cell is the cell that the instance belongs to.
 	Cell string `cbor:"11,keyasint,omitempty" json:"cell"`
-	// Capacity is the processor time that the instance may use, in thousandths of
-	// a core; 0 if it does not say.
+	// Capacity is the processor time that the instance may use, in thousandths of a
+	// core. It is 0 if the instance does not report it.
 	Capacity int `cbor:"12,keyasint,omitempty" json:"capacity,omitempty"`
-	// Part is set if the instance knows only some of the servers on the list of backend
-	// servers.
+	// Part is set if the instance knows only a subset of the backend servers on the
+	// list.
 	Part bool `cbor:"13,keyasint,omitempty" json:"part,omitempty"`
 }
 
@@ -107,66 +109,67 @@
 	return operation.Member{Name: i.Name, Incarnation: i.Incarnation}
 }
 
-// Brief returns what a heartbeat says when its receivers know the rest.
+// Brief returns the heartbeat without the fields that its receivers already know.
 func (i Info) Brief() Info {
 	i.Zone, i.Caller, i.Peer = "", "", ""
 	return i
 }
 
-// Sibling is one member as this instance sees it.
+// Sibling is one member in this instance's view.
 type Sibling struct {
 	Info
 	State State `json:"state"`
-	// Heard is when its last heartbeat arrived here, and HeardAnywhere the
-	// latest time that a sibling reports.
+	// Heard is when its last heartbeat arrived at this instance, and HeardAnywhere the
+	// latest time of contact that any sibling reports.
 	Heard         time.Time `json:"heard"`
 	HeardAnywhere time.Time `json:"heard_anywhere"`
-	// Reported is the state that one who hears it directly has reported; empty if nobody
-	// has.
+	// Reported is the state last reported by an instance that receives its heartbeats
+	// directly. It is empty if there was no report.
 	Reported State `json:"reported,omitempty"`
-	// Observed is when the state was observed first-hand: by this instance, or by the one
-	// whose word reached it through others.
+	// Observed is when the state was observed first-hand, by this instance or by the
+	// one whose report reached it through others.
 	Observed time.Time `json:"observed,omitzero"`
-	// reportObserved is the same for Reported.
+	// reportObserved is the time of the first-hand observation behind Reported.
 	reportObserved time.Time
-	// Vouched is when somebody had heard it, later than was known here.
+	// Vouched is when another instance had contact with the member, if that was later
+	// than known here.
 	Vouched time.Time `json:"vouched,omitzero"`
 }
 
-// Serves says whether the sibling still serves: alive or leaving.
+// Serves reports whether the sibling still serves: it is alive or leaving.
 func (s *Sibling) Serves() bool { return s.State == Alive || s.State == Leaving }
 
-// View is an immutable picture of the members, sorted by name.
+// View is an immutable snapshot of the members, sorted by name.
 type View struct {
 	Siblings []*Sibling
 	self     operation.Member
 }
 
-// Members tracks the siblings of one instance. Writers hold a lock and swap a
-// new View in; readers load it without one.
+// Members tracks the siblings of one instance. Writers hold a lock and replace the
+// View. Readers load it without the lock unless it is stale.
 type Members struct {
 	config Config
 	self   operation.Member
 
 	mu sync.Mutex
-	// siblings are replaced, never changed: views hold them.
+	// siblings are replaced, never modified, because views refer to them.
 	siblings map[string]*Sibling
-	// names are those of the siblings, sorted; nil if they have changed.
+	// names holds the sorted names of the siblings, or nil if they have changed.
 	names  []string
 	listed listing
-	// reportsConfirmed is when those who report states were last heard: what they reported holds
-	// until then.
+	// reportsConfirmed is the last contact with the instances that report states. Their
+	// reports hold until then.
 	reportsConfirmed time.Time
-	// watched is the zone whose members this instance hears directly itself, and
-	// judges by that alone; empty for none.
-	watched string
-	view    atomic.Pointer[View]
-	// changed is set while the view is older than the siblings. With hundreds of
-	// siblings it is made anew when somebody looks, not at each heartbeat.
-	changed atomic.Bool
+	// watchedZone is the zone whose members this instance receives heartbeats from
+	// directly, and judges by these alone. It is empty for none.
+	watchedZone string
+	view        atomic.Pointer[View]
+	// viewStale is set while the view is older than the siblings. The view is rebuilt
+	// when it is read, not at each heartbeat, since there may be hundreds of siblings.
+	viewStale atomic.Bool
 }
 
-// New returns the members of an instance that has heard of nobody.
+// New returns the members of an instance that has had no contact with any sibling.
 func New(self operation.Member, config Config) *Members {
 	m := &Members{
 		config:   config,
@@ -178,17 +181,17 @@
 	return m
 }
 
-// View returns the current picture.
+// View returns the current view, and rebuilds it first if it is stale.
 func (m *Members) View() *View {
-	if m.changed.Load() {
+	if m.viewStale.Load() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.build()
+		m.rebuildView()
 	}
 	return m.view.Load()
 }
 
-// Find returns what is known of one sibling, without making a picture of all.
+// Find returns one sibling without rebuilding the view.
 func (m *Members) Find(name string) (Sibling, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -199,17 +202,17 @@
 	return *sibling, true
 }
 
-// SetSuspectAfter changes the silence after which a member gets no new work, as
-// heartbeats come more or less often.
+// SetSuspectAfter changes the silence after which a member gets no new work, to follow
+// a change of the heartbeat interval.
 func (m *Members) SetSuspectAfter(silence time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.config.SuspectAfter = silence
 }
 
-// Heard takes a heartbeat, and says whether it counted. One of an earlier
-// incarnation does not, nor does one that leaves out the addresses of a run
-// that is not known yet.
+// Heard applies a heartbeat, and returns whether it was accepted. It rejects a
+// heartbeat of an earlier incarnation, one that is older than the last of the same run,
+// and one that leaves out the addresses of a run that is not known yet.
 func (m *Members) Heard(info Info, now time.Time) bool {
 	if info.Name == m.self.Name {
 		return false
@@ -239,36 +242,36 @@
 	return true
 }
 
-// put takes in what is known of a sibling now. The caller holds the lock.
+// put replaces the entry of a sibling. The caller holds the lock.
 func (m *Members) put(sibling Sibling) {
 	if m.siblings[sibling.Name] == nil {
 		m.names = nil
 	}
 	m.siblings[sibling.Name] = &sibling
-	m.publish()
+	m.markChanged()
 }
 
-// confirmedEvery is how exactly it is kept when members were last heard anywhere that others
-// report: to the moment, each look would make all of them anew.
-const confirmedEvery = time.Second
+// confirmationStep is the resolution of HeardAnywhere for members whose state others
+// report. With an exact time, each Tick would replace all of them.
+const confirmationStep = time.Second
 
-// Tick recomputes every state at now, and forgets those long dead.
+// Tick recomputes every state at now, and drops members that have been dead for long.
 func (m *Members) Tick(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, known := range m.siblings {
 		sibling := *known
-		if (sibling.Reported == Alive || sibling.Reported == Leaving) && m.reportsConfirmed.Sub(sibling.HeardAnywhere) >= confirmedEvery {
+		if (sibling.Reported == Alive || sibling.Reported == Leaving) && m.reportsConfirmed.Sub(sibling.HeardAnywhere) >= confirmationStep {
 			sibling.HeardAnywhere = m.reportsConfirmed
 		}
 		if now.Sub(sibling.HeardAnywhere) > m.config.ForgetAfter {
 			delete(m.siblings, name)
 			m.names = nil
-			m.publish()
+			m.markChanged()
 			continue
 		}
 		sibling.State = m.stateAt(sibling, now)
-		if m.judges(sibling) && sibling.State != Alive && sibling.State != Leaving {
+		if m.judgedDirectly(sibling) && sibling.State != Alive && sibling.State != Leaving {
 			sibling.Observed = now
 		}
 		if sibling != *known {
@@ -277,9 +280,10 @@
 	}
 }
 
-// judges says whether a sibling's silence is judged by what this instance hears itself.
-func (m *Members) judges(s Sibling) bool {
-	return s.Reported == "" || (m.watched != "" && s.Zone == m.watched)
+// judgedDirectly reports whether a sibling's silence is judged by the heartbeats that
+// this instance receives itself.
+func (m *Members) judgedDirectly(s Sibling) bool {
+	return s.Reported == "" || (m.watchedZone != "" && s.Zone == m.watchedZone)
 }
 
 func (m *Members) stateAt(s Sibling, now time.Time) State {
@@ -287,7 +291,7 @@
 	case m.isDead(s, now):
 		return Dead
 	case now.Sub(s.Heard) > m.config.SuspectAfter && now.Sub(s.Vouched) > m.config.SuspectAfter:
-		if m.judges(s) {
+		if m.judgedDirectly(s) {
 			return Suspect
 		}
 		return s.Reported
@@ -298,11 +302,11 @@
 	}
 }
 
-// publish notes that the siblings have changed.
-func (m *Members) publish() { m.changed.Store(true) }
+// markChanged records that the siblings have changed.
+func (m *Members) markChanged() { m.viewStale.Store(true) }
 
-// build makes the picture anew. The caller holds the lock.
-func (m *Members) build() {
+// rebuildView replaces the view. The caller holds the lock.
+func (m *Members) rebuildView() {
 	if m.names == nil {
 		m.names = slices.Sorted(maps.Keys(m.siblings))
 	}
@@ -311,8 +315,9 @@
 		next.Siblings = append(next.Siblings, m.siblings[name])
 	}
 	m.view.Store(next)
-	// Only now: who finds nothing changed takes the picture without the lock.
-	m.changed.Store(false)
+	// The flag is cleared only after the view is stored, since a reader that finds it
+	// clear loads the view without the lock.
+	m.viewStale.Store(false)
 }
 
 // Find returns the sibling of that name.
@@ -326,7 +331,7 @@
 	return *v.Siblings[i], true
 }
 
-// Knows says whether this run of an instance, or a later one, is known.
+// Knows reports whether this run of an instance, or a later one, is known.
 func (v *View) Knows(member operation.Member) bool {
 	sibling, known := v.Find(member.Name)
 	return known && sibling.Incarnation >= member.Incarnation
@@ -343,8 +348,8 @@
 	return serving
 }
 
-// IsDead says whether a run of an instance is known to have ended: it has
-// been silent for long, or a later incarnation of it was heard, which may be
+// IsDead reports whether a run of an instance is known to have ended. Either it has
+// been silent for long, or there was contact with a later incarnation, which may be
 // this instance itself.
 func (v *View) IsDead(member operation.Member) bool {
 	if member.Name == v.self.Name {
--- a/member/reports.go
+++ b/member/reports.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Where there are too many members for each to hear all others, some hear those of
-// a zone and report to the rest how they are.
+// If there are too many members for each to receive the heartbeats of all others, some
+// receive those of one zone and report the states of its members to the rest.
 
-// Report takes in what another says of a member, which was observed first-hand then, by
-// itself or by one who reported it. An older observation changes nothing: else two that repeat
-// each other's word would keep a member alive for as long as they do. Of a run that is known
-// it may leave out the addresses.
+// Report applies the state of a member as reported by another instance. The state was
+// observed first-hand at observed, by the reporter or by the instance that it repeats.
+// Older observations are ignored: otherwise two instances that repeat each other's
+// reports would keep a member alive for as long as both do. The report of a known run
+// may leave out the addresses.
 func (m *Members) Report(info Info, state State, observed, now time.Time) {
 	if info.Name == m.self.Name {
 		return
@@ -50,18 +51,18 @@
 	m.put(known)
 }
 
-// ConfirmReports notes that one who reports states was heard: what was reported of members that
-// live still holds.
+// ConfirmReports records contact with an instance that reports states. What was
+// reported of live members still holds.
 func (m *Members) ConfirmReports(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reportsConfirmed = now
 }
 
-// Watch has the members of a zone judged by what is heard of them directly, whatever
-// was reported; an empty zone ends that.
+// Watch has the members of a zone judged by their direct heartbeats alone, whatever is
+// reported of them. An empty zone ends that.
 func (m *Members) Watch(zone string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.watched = zone
+	m.watchedZone = zone
 }
--- a/member/suspicion.go
+++ b/member/suspicion.go
@@ -6,15 +6,14 @@
 	"github.com/mastwheel/mastwheel/operation"
 )
 
-// A silent member is not yet a dead one: it may be paused, or only the path
-// between the two of us may be cut. As in SWIM (Das, Gupta and Motivala,
-// 2002), a suspect gets a second chance through others: siblings are asked
-// when they heard it last. Unlike there, nobody's word makes a member dead:
-// silence towards everybody asked must be joined by the platform's list no
-// longer showing it, so that a parted instance that still streams to its
-// callers is not taken for a dead one.
+// A silent member is not necessarily dead: it may be paused, or only the path to this
+// instance may be cut. As in SWIM (Das, Gupta and Motivala, 2002), a suspect gets a
+// second chance through others: siblings are queried for their last contact with it.
+// Unlike in SWIM, no report alone makes a member dead. It must be silent towards every
+// sibling that was queried, and the platform's list must no longer show it, so that a
+// partitioned instance which still streams to its callers is not treated as dead.
 
-// isDead says whether a silent member counts as dead.
+// isDead reports whether a silent member counts as dead.
 func (m *Members) isDead(s Sibling, now time.Time) bool {
 	silence := now.Sub(s.HeardAnywhere)
 	if silence > m.config.AbandonAfter {
@@ -23,12 +22,12 @@
 	return silence > m.config.DeadAfter && m.listed.isGone(s.Name, s.introduced())
 }
 
-// introduced says whether the member was only ever named by others.
+// introduced reports whether the member is only known from others.
 func (s Sibling) introduced() bool { return s.Heard.IsZero() }
 
-// Introduce notes a member that this instance has not heard itself, as when
-// an engine holds a request of a home that died before this instance started.
-// It is a suspect, to be asked about, and dies like any other.
+// Introduce adds a member that this instance has had no contact with, for example if an
+// engine holds a request whose home died before this instance started. The member
+// starts as a suspect that siblings are queried about, and dies like any other.
 func (m *Members) Introduce(member operation.Member, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -43,7 +42,7 @@
 	})
 }
 
-// Suspects returns the members that others should be asked about.
+// Suspects returns the members that siblings should be queried about.
 func (v *View) Suspects() []*Sibling {
 	var suspects []*Sibling
 	for _, sibling := range v.Siblings {
@@ -54,8 +53,8 @@
 	return suspects
 }
 
-// Silence returns how long ago a run of an instance was last heard here, and
-// whether it ever was.
+// Silence returns the time since the last direct contact with a run of an instance, and
+// whether there was any such run.
 func (v *View) Silence(member operation.Member, now time.Time) (time.Duration, bool) {
 	sibling, known := v.Find(member.Name)
 	if !known || sibling.Incarnation != member.Incarnation {
@@ -64,7 +63,7 @@
 	return now.Sub(sibling.Heard), true
 }
 
-// Vouch takes a sibling's word that it heard a member at that time.
+// Vouch applies a sibling's report of its last contact with a member.
 func (m *Members) Vouch(member operation.Member, heard, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/member/view_test.go
+++ b/member/view_test.go
@@ -9,24 +9,24 @@
 	"github.com/mastwheel/mastwheel/operation"
 )
 
-// Two who look at the same time both see what was heard before: while one made the
-// picture anew, the other was given the one before.
-func TestEveryLookShowsWhatWasHeardBefore(t *testing.T) {
+// Concurrent readers of a stale view must all see every earlier heartbeat. A reader
+// used to get the previous view while another one was rebuilding it.
+func TestConcurrentViewsShowEarlierHeartbeats(t *testing.T) {
 	for range 200 {
 		m := New(operation.Member{Name: "self", Incarnation: 1}, DefaultRegion())
 		now := time.Now()
 		for i := range 100 {
 			m.Heard(Info{Name: fmt.Sprint(i), Incarnation: 1, Peer: "p"}, now)
 		}
-		var looks sync.WaitGroup
+		var readers sync.WaitGroup
 		for range 4 {
-			looks.Go(func() {
+			readers.Go(func() {
 				if known := len(m.View().Siblings); known != 100 {
-					t.Errorf("%d of 100 are shown", known)
+					t.Errorf("the view has %d of 100 siblings", known)
 				}
 			})
 		}
-		looks.Wait()
+		readers.Wait()
 		if t.Failed() {
 			return
 		}
