--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,8 +1,9 @@
-// Package subset decides which backend servers an instance uses where there are too many
-// for each instance to know all. Of the servers of its own availability zone it uses an even
-// part, and of the others few, for when those near are lost. Which these are follows from
-// names alone: they stay the same as servers and instances come and go, and whoever knows the
-// shares knows the part. It does no I/O and reads no clock.
+// Package subset decides which backend servers an instance uses if there are too many
+// for each instance to know all of them. A subset holds an even share of the servers in
+// the instance's own availability zone, and a few of the others in case those nearby
+// are lost. It follows from names alone: it stays the same as servers and instances
+// come and go, and anyone who knows its shares can compute it. The package does no I/O
+// and reads no clock.
 package subset
 
 import (
@@ -11,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Share is the part of a service's servers that an instance uses: of those in its own zone
-// one in 2^Near, of the others one in 2^Far.
+// Share is the fraction of a service's servers that an instance uses: one in 2^Near of
+// those in its own zone, and one in 2^Far of the others.
 type Share struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
@@ -20,20 +21,20 @@
 	Far     uint8
 }
 
-// Subset is the part of all servers that one instance uses. A nil *Subset is all of them.
+// Subset is the set of servers that one instance uses. A nil *Subset holds all servers.
 type Subset struct {
 	zone   string
 	seed   uint64
 	shares []Share
 }
 
-// New returns the subset of an instance by its shares. Servers of other services are all in
-// it.
+// New returns the subset of an instance with the given shares. It holds all servers of
+// services without a share.
 func New(instance, zone string, shares []Share) *Subset {
 	return &Subset{zone: zone, seed: xxhash.Sum64String(instance), shares: shares}
 }
 
-// Shares returns what the subset was made of; nil for all servers.
+// Shares returns the shares that the subset was made from, or nil for all servers.
 func (s *Subset) Shares() []Share {
 	if s == nil {
 		return nil
@@ -41,7 +42,7 @@
 	return s.shares
 }
 
-// Fingerprint tells subsets of one instance apart; 0 for all servers.
+// Fingerprint distinguishes the subsets of one instance. It is 0 for all servers.
 func (s *Subset) Fingerprint() uint64 {
 	if s == nil {
 		return 0
@@ -55,8 +56,8 @@
 	return digest.Sum64() | 1
 }
 
-// Holds says whether a server is in the subset. It depends on the server's id, so a run that
-// follows another is where that was.
+// Holds reports whether a server is in the subset. The result depends on the server's
+// id, so it stays the same when the server's process is restarted.
 func (s *Subset) Holds(id, service, zone string) bool {
 	if s == nil {
 		return true
@@ -69,7 +70,7 @@
 	if zone == s.zone {
 		halvings = share.Near
 	}
-	return halvings == 0 || s.weight(id)>>(64-halvings) == 0
+	return halvings == 0 || s.hash(id)>>(64-halvings) == 0
 }
 
 func (s *Subset) find(service string) *Share {
@@ -81,12 +82,13 @@
 	return nil
 }
 
-// weight is a number that is even over servers for each instance, and over instances for
-// each server.
-func (s *Subset) weight(id string) uint64 {
+// hash returns a number that is uniformly distributed over the servers for each
+// instance, and over the instances for each server.
+func (s *Subset) hash(id string) uint64 {
 	var digest xxhash.Digest
 	digest.ResetWithSeed(s.seed)
 	digest.WriteString(id)
-	// Ids that differ in few bits must not be chosen together by all instances.
+	// The second hash keeps ids that differ in few bits from being selected together by
+	// all instances.
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, digest.Sum64()))
 }
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -7,17 +7,18 @@
 	"testing"
 )
 
-// server is one of a deployment.
+// server is one server of a deployment.
 type server struct{ id, service, zone string }
 
-// deployment is servers and instances in zones.
+// deployment holds the servers and instances of all zones.
 type deployment struct {
-	servers   []server
-	counted   *Census
-	instances map[string][]string // by zone
+	servers      []server
+	serverCensus *Census
+	instances    map[string][]string // by zone
 }
 
-// deploymentOf has the whole fleet's proportions: seven of eight servers are engines.
+// deploymentOf returns a deployment with the proportions of the complete fleet: seven
+// of eight servers are engines.
 func deploymentOf(zones, servers, instances int) deployment {
 	d := deployment{instances: make(map[string][]string)}
 	for i := range servers {
@@ -31,16 +32,16 @@
 		zone := fmt.Sprint("z", i%zones)
 		d.instances[zone] = append(d.instances[zone], fmt.Sprintf("front-%s-%d", zone, i))
 	}
-	d.counted = NewCensus()
+	d.serverCensus = NewCensus()
 	for _, s := range d.servers {
-		d.counted.Add(s.service, s.zone)
+		d.serverCensus.Add(s.service, s.zone)
 	}
 	return d
 }
 
-func (d deployment) census() *Census { return d.counted }
+func (d deployment) census() *Census { return d.serverCensus }
 
-func (d deployment) of(instance, zone string) *Subset {
+func (d deployment) subsetOf(instance, zone string) *Subset {
 	all := 0
 	for _, names := range d.instances {
 		all += len(names)
@@ -53,7 +54,7 @@
 	{3, 1000, 100}, {3, 3000, 300}, {5, 10_000, 986}, {8, 10_000, 1400}, {8, 20_000, 2800}, {1, 10_000, 1000}, {5, 2000, 10},
 }
 
-func TestInstancesUseFewOfManyServers(t *testing.T) {
+func TestSubsetsAreSmallAndEven(t *testing.T) {
 	config := DefaultConfig()
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -63,7 +64,7 @@
 			largest := 0
 			for zone, names := range d.instances {
 				for _, name := range names {
-					uses := d.of(name, zone)
+					uses := d.subsetOf(name, zone)
 					held := make(map[string][]string)
 					for _, s := range d.servers {
 						if uses.Holds(s.id, s.service, s.zone) {
@@ -84,7 +85,7 @@
 					}
 					largest = max(largest, count)
 					if size.servers <= config.AllAtMost && count != size.servers {
-						t.Fatalf("%s uses %d of %d", name, count, size.servers)
+						t.Fatalf("%s uses %d of %d servers", name, count, size.servers)
 					}
 				}
 			}
@@ -94,12 +95,12 @@
 					unused++
 				}
 			}
-			t.Logf("at most %d servers an instance, %d used by none of their zone, loads of engines differ by %.2f of the mean (standard deviation)", largest, unused, spread(load))
+			t.Logf("at most %d servers per instance, %d servers used by no instance of their zone, standard deviation of the engines' loads %.2f of the mean", largest, unused, spread(load))
 			if size.instances >= 100 && largest > max(config.AllAtMost, 400) {
 				t.Errorf("an instance uses %d servers", largest)
 			}
 			if size.servers > config.AllAtMost && spread(load) > 0.4 {
-				t.Errorf("engines' loads differ by %.2f", spread(load))
+				t.Errorf("the standard deviation of the engines' loads is %.2f of the mean, want at most 0.4", spread(load))
 			}
 			if unused > size.servers/200 {
 				t.Errorf("%d servers are used by no instance of their zone", unused)
@@ -108,7 +109,7 @@
 	}
 }
 
-// spread is the standard deviation of loads, as a part of the mean.
+// spread returns the standard deviation of loads, as a fraction of the mean.
 func spread(loads map[string]float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, load := range loads {
@@ -120,22 +121,22 @@
 	return math.Sqrt(max(squares/n-mean*mean, 0)) / mean
 }
 
-// As servers and instances come and go, an instance keeps what it uses.
-func TestASubsetStaysAsOthersComeAndGo(t *testing.T) {
+// An instance keeps its subset as servers and instances come and go.
+func TestSubsetIsStable(t *testing.T) {
 	before, after := deploymentOf(5, 10_000, 986), deploymentOf(5, 9000, 900)
 	name := before.instances["z1"][7]
-	a, b := before.of(name, "z1"), after.of(name, "z1")
+	a, b := before.subsetOf(name, "z1"), after.subsetOf(name, "z1")
 	if !DefaultConfig().Fits(a, b, after.census()) {
-		t.Fatalf("%+v does not do for %+v", a.Shares(), b.Shares())
+		t.Fatalf("subset with shares %+v does not fit where %+v is wanted", a.Shares(), b.Shares())
 	}
 	for _, s := range after.servers {
 		if a.Holds(s.id, s.service, s.zone) != New(name, "z1", a.Shares()).Holds(s.id, s.service, s.zone) {
-			t.Fatal("who knows the shares does not know the subset")
+			t.Fatal("a subset made from the same shares holds other servers")
 		}
 	}
 }
 
-func TestWhenASubsetIsMadeAnew(t *testing.T) {
+func TestFits(t *testing.T) {
 	config, many := DefaultConfig(), deploymentOf(5, 10_000, 986).census()
 	share := func(near, far uint8) *Subset { return New("i", "z", []Share{{Service: "s", Near: near, Far: far}}) }
 	for _, test := range []struct {
@@ -152,25 +153,25 @@
 		{nil, nil, true},
 	} {
 		if fits := config.Fits(test.have, test.now, many); fits != test.fits {
-			t.Errorf("%+v for %+v: %t", test.have, test.now, fits)
+			t.Errorf("Fits(%+v, %+v) = %t", test.have, test.now, fits)
 		}
 	}
 	near := deploymentOf(5, config.AllAtMost+1, 100)
-	if !config.Fits(nil, near.of("i", "z1"), near.census()) {
-		t.Error("made anew at one server more")
+	if !config.Fits(nil, near.subsetOf("i", "z1"), near.census()) {
+		t.Error("a subset replaces all servers after one server more than AllAtMost")
 	}
 }
 
-func TestServersOfAServiceWithoutAShareAreAllUsed(t *testing.T) {
+func TestAllServersOfServiceWithoutShareAreUsed(t *testing.T) {
 	s := New("i", "z", []Share{{Service: "known", Near: 20, Far: 20}})
 	if !s.Holds("a", "new", "z") || s.Holds("a", "known", "z") && s.Holds("b", "known", "z") {
-		t.Error("a service that has just come has no servers")
+		t.Error("wrong servers for a service without a share or with a small one")
 	}
 	if (*Subset)(nil).Fingerprint() != 0 || s.Fingerprint() == New("i", "z", []Share{{Service: "known", Near: 19, Far: 20}}).Fingerprint() {
-		t.Error("fingerprints do not tell subsets apart")
+		t.Error("fingerprints do not distinguish subsets")
 	}
 	if !slices.Equal(s.Shares(), New("i", "z", s.Shares()).Shares()) {
-		t.Error("not the shares that it was made of")
+		t.Error("Shares does not return the shares that the subset was made from")
 	}
 }
 
