--- a/poison/blame.go
+++ b/poison/blame.go
@@ -7,130 +7,139 @@
 	"time"
 )
 
-// serverRun names one run of a server: it ends once.
+// serverRun identifies one run of a server's process, which crashes at most once.
 type serverRun uint64
 
-// run is a request's run at a server, from when it was sent to the server's end.
-type run struct{ began, ended time.Time }
+// execution is one execution of a request on a server, from when the request was sent
+// until the server crashed.
+type execution struct{ started, crashed time.Time }
 
-// ends holds the runs of a request at servers that ended.
-type ends map[serverRun]run
+// crashSet holds the executions of one request on server runs that crashed, by server
+// run.
+type crashSet map[serverRun]execution
 
-// crashes counts the ends under a request. Of a call that many callers send, several
-// run at a time, and a rack, a herd or a release may take all their servers: so of the
-// runs of all callers only those count that began after the end that was counted before.
-func (e ends) crashes(of Fingerprint) int {
-	if !of.ofAll() {
-		return len(e)
+// count returns the number of crashes that count against the request with fingerprint
+// of. A request that many callers send is executed several times at once, and a rack
+// failure, an overload wave or a release can take down all of those servers. For the
+// fingerprint of all callers, a crash therefore counts only if its execution started
+// after the previously counted crash.
+func (s crashSet) count(of Fingerprint) int {
+	if !of.ofAllCallers() {
+		return len(s)
 	}
-	runs := slices.SortedFunc(maps.Values(e), func(a, b run) int { return a.ended.Compare(b.ended) })
+	runs := slices.SortedFunc(maps.Values(s), func(a, b execution) int { return a.crashed.Compare(b.crashed) })
 	count := 0
 	var last time.Time
-	for _, one := range runs {
-		if count == 0 || one.began.After(last) {
+	for _, e := range runs {
+		if count == 0 || e.started.After(last) {
 			count++
-			last = one.ended
+			last = e.crashed
 		}
 	}
 	return count
 }
 
-// blame is what the ends of servers say of one request.
+// blame is what the crashes of servers indicate about one request.
 type blame struct {
-	// crashes counts the ends under it that no other request explains better.
+	// crashes counts the crashes during the request that no other request explains
+	// better.
 	crashes int
-	// tied is set if it cannot be told apart from another one: the same servers ended
-	// under both.
+	// tied is set if the request cannot be told apart from another one, because the
+	// same servers crashed during both.
 	tied bool
 }
 
-// mostBlamed bounds the requests that are considered at a time, those under which most
-// servers ended: the time that it takes grows with the square. With 256, and twenty ends
-// each, it is 5 ms (BenchmarkBlame).
-const mostBlamed = 256
+// maxCandidates limits how many requests are considered at a time to those with the
+// most crashes, because the cost is quadratic: 256 requests with 20 crashes each take 5
+// ms (BenchmarkBlame).
+const maxCandidates = 256
 
-// attribute finds the requests that explain the ends of servers, each end by one: the
-// request under which most ended is the cause of all of these, then the same for what
-// is left. So a request that shared a server with a cause is not blamed for that end.
-// ran holds, for each request under which several servers ended, those.
-func (c Config) attribute(ran map[Fingerprint]ends) map[Fingerprint]blame {
+// attribute finds the requests that explain the crashes, and assigns each crash to one
+// request. It is greedy: the request with the most crashes is the cause of all of them,
+// and the same step repeats for the remaining crashes. A request that shared a server
+// with the cause is therefore not blamed for that crash. byRequest holds the crashes of
+// each request that has several.
+func (c Config) attribute(byRequest map[Fingerprint]crashSet) map[Fingerprint]blame {
 	found := make(map[Fingerprint]blame)
-	left := c.candidates(ran)
+	left := c.candidates(byRequest)
 	for len(left) > 0 {
-		cause := most(left)
+		cause := mostCrashes(left)
 		servers := left[cause]
-		crashes := servers.crashes(cause)
+		crashes := servers.count(cause)
 		if crashes < c.SuspectCrashes {
 			delete(left, cause)
 			continue
 		}
-		if ran[cause].crashes(cause) >= c.OftenCrashes {
+		if byRequest[cause].count(cause) >= c.OftenCrashes {
 			crashes = max(crashes, c.BlockCrashes)
 		}
-		alike := sameServers(left, cause)
-		for _, request := range alike {
-			found[request] = blame{crashes: crashes, tied: len(alike) > 1}
+		identical := sameCrashes(left, cause)
+		for _, request := range identical {
+			found[request] = blame{crashes: crashes, tied: len(identical) > 1}
 			delete(left, request)
 		}
 		if crashes >= c.BlockCrashes {
-			explain(left, servers)
+			removeExplained(left, servers)
 		}
 	}
 	return found
 }
 
-// candidates returns the requests that may be to blame.
-func (c Config) candidates(ran map[Fingerprint]ends) map[Fingerprint]ends {
+// candidates returns the requests that may be to blame, with copies of their crash
+// sets.
+func (c Config) candidates(byRequest map[Fingerprint]crashSet) map[Fingerprint]crashSet {
 	var several []Fingerprint
-	for request, servers := range ran {
-		if servers.crashes(request) >= c.SuspectCrashes {
+	for request, servers := range byRequest {
+		if servers.count(request) >= c.SuspectCrashes {
 			several = append(several, request)
 		}
 	}
 	slices.SortFunc(several, func(a, b Fingerprint) int {
-		return cmp.Or(cmp.Compare(len(ran[b]), len(ran[a])), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(len(byRequest[b]), len(byRequest[a])), cmp.Compare(a, b))
 	})
-	left := make(map[Fingerprint]ends)
-	for _, request := range several[:min(len(several), mostBlamed)] {
-		left[request] = maps.Clone(ran[request])
+	left := make(map[Fingerprint]crashSet)
+	for _, request := range several[:min(len(several), maxCandidates)] {
+		left[request] = maps.Clone(byRequest[request])
 	}
 	return left
 }
 
-// most returns the request under which most servers ended; of a caller's own and the
-// same of all callers, which may be equal in that, the former.
-func most(left map[Fingerprint]ends) Fingerprint {
+// mostCrashes returns the request with the most crashes. If a caller's fingerprint and
+// the content fingerprint of the same request have equally many, it returns the
+// caller's.
+func mostCrashes(left map[Fingerprint]crashSet) Fingerprint {
 	return slices.MaxFunc(slices.Collect(maps.Keys(left)), func(a, b Fingerprint) int {
-		return cmp.Or(cmp.Compare(len(left[a]), len(left[b])), compareCallers(a, b), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(len(left[a]), len(left[b])), compareScopes(a, b), cmp.Compare(a, b))
 	})
 }
 
-// compareCallers orders a fingerprint of all callers' requests before one of a single
-// caller's.
-func compareCallers(a, b Fingerprint) int {
+// compareScopes orders fingerprints of all callers before fingerprints of a single
+// caller.
+func compareScopes(a, b Fingerprint) int {
 	switch {
-	case a.ofAll() == b.ofAll():
+	case a.ofAllCallers() == b.ofAllCallers():
 		return 0
-	case a.ofAll():
+	case a.ofAllCallers():
 		return -1
 	default:
 		return 1
 	}
 }
 
-// sameServers returns a request and the others of its kind that ran at all of its
-// servers. Since it is the one with most, they ran at no others.
-func sameServers(left map[Fingerprint]ends, request Fingerprint) []Fingerprint {
-	var alike []Fingerprint
+// sameCrashes returns the request and all others of its kind that were being executed
+// during all of its crashes. Since the request is the one with the most crashes, the
+// others have no further ones.
+func sameCrashes(left map[Fingerprint]crashSet, request Fingerprint) []Fingerprint {
+	var identical []Fingerprint
 	for other, servers := range left {
-		if other.ofAll() == request.ofAll() && sameKeys(servers, left[request]) {
-			alike = append(alike, other)
+		if other.ofAllCallers() == request.ofAllCallers() && sameKeys(servers, left[request]) {
+			identical = append(identical, other)
 		}
 	}
-	return alike
+	return identical
 }
 
-func sameKeys(a, b ends) bool {
+func sameKeys(a, b crashSet) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -142,10 +151,11 @@
 	return true
 }
 
-// explain takes ends that have a cause off what the others are blamed for.
-func explain(left map[Fingerprint]ends, explained ends) {
+// removeExplained removes crashes that have a cause from the crash sets of the other
+// requests.
+func removeExplained(left map[Fingerprint]crashSet, explained crashSet) {
 	for request, servers := range left {
-		maps.DeleteFunc(servers, func(server serverRun, _ run) bool {
+		maps.DeleteFunc(servers, func(server serverRun, _ execution) bool {
 			_, known := explained[server]
 			return known
 		})
--- a/poison/config.go
+++ b/poison/config.go
@@ -2,65 +2,72 @@
 
 import "time"
 
-// Config tunes when a request is blocked, and for how long.
+// Config sets when a request is blocked, and for how long.
 type Config struct {
-	// SuspectCrashes is how many servers must have ended under a request for its next
-	// run to be a probe: one at a time, at the server where the fewest others are
-	// lost with it. With one, each request that shared a server with the cause would
-	// be probed; with three, that care would come too late.
+	// SuspectCrashes is how many servers must have crashed during a request for it to
+	// become a suspect. From then on each execution is a probe: one at a time, on the
+	// server where the fewest other requests are lost with it. With one, every request
+	// that shared a server with the cause would be probed. With three, the probes would
+	// come too late.
 	SuspectCrashes int
-	// BlockCrashes is how many servers must have ended under a request, and under no
-	// other that explains it, for it to be blocked (source: the users' rule, three).
+	// BlockCrashes is how many servers must have crashed during a request, without
+	// another request that explains the crashes, for it to be blocked. The users'
+	// requirement is three.
 	BlockCrashes int
-	// OftenCrashes is how many servers must have ended under a request, whatever explains
-	// them, for SuspectCrashes that nothing explains to be enough: where there are more
-	// requests that crash servers than servers, each mostly runs beside another. With 20
-	// of them before 9 servers, 111 servers ended in 40 s without it, and 70 with it; none
-	// of 2,400 other requests was refused.
+	// OftenCrashes is how many servers must have crashed during a request, whatever
+	// explains the crashes, for SuspectCrashes unexplained ones to be enough to block
+	// it. If there are more requests that crash servers than servers, each of them
+	// mostly runs beside another one. With 20 such requests and 9 servers, 111 servers
+	// crashed in 40 s without this rule and 70 with it, and none of 2,400 other
+	// requests was refused.
 	OftenCrashes int
-	// TiedCrashes is how many servers must have ended under several requests that
+	// TiedCrashes is how many servers must have crashed during several requests that
 	// always ran together for all of them to be blocked. Until then one of them is
-	// probed now and then, which tells them apart.
+	// probed at intervals, which tells them apart.
 	TiedCrashes int
-	// TiedProbeAfter is the least time between two such probes.
+	// TiedProbeAfter is the minimum time between two such probes.
 	TiedProbeAfter time.Duration
-	// ProbeAfter is how long after its last crash a blocked request is probed again,
-	// for a server that was mended meanwhile; each probe that fails makes it
-	// ProbeFactor times as long, up to ProbeAtMost. Shorter serves the wrongly blocked
-	// sooner; each probe of a true one costs a server (the users allow three in all).
+	// ProbeAfter is how long after its last crash a blocked request is probed again, in
+	// case the servers have been fixed. Each failed probe multiplies the delay by
+	// ProbeFactor, up to ProbeAtMost. A shorter delay serves wrongly blocked requests
+	// sooner, but each probe of a request that is to blame costs a server, and the
+	// users allow three in all.
 	ProbeAfter  time.Duration
 	ProbeFactor int
 	ProbeAtMost time.Duration
-	// ProbeSpread is the time in which the chance that an instance probes a request
-	// doubles. All instances know when a probe is due, and one should make it.
+	// ProbeSpread is the time in which the probability that an instance probes a
+	// request doubles. All instances know when a probe is due, and only one should make
+	// it.
 	ProbeSpread time.Duration
-	// Memory is how long the end of a server is remembered: longer than BlockCrashes
-	// times ProbeAtMost, or a request would be forgotten between two probes.
+	// Memory is how long the crash of a server is remembered. It must be longer than
+	// BlockCrashes times ProbeAtMost, or a request would be forgotten between two
+	// probes.
 	Memory time.Duration
-	// BrokenFor is how long a run that broke off waits for the word that its server
-	// has ended.
+	// BrokenFor is how long a request whose connection broke waits for confirmation
+	// that its server has crashed.
 	BrokenFor time.Duration
-	// MostEnds bounds the ends that are remembered, and MostRan the requests of each,
-	// some 50 bytes apiece; the oldest and the last go.
+	// MostEnds limits the remembered crashes, and MostRan the requests of each, at
+	// about 50 bytes apiece. Beyond the limits the oldest crashes and the last requests
+	// are dropped.
 	MostEnds int
 	MostRan  int
-	// FreshFor is how long an end is told in each update after something new was
-	// learnt of it: several updates, since datagrams are lost now and then.
+	// FreshFor is how long a crash is part of each update after something new was
+	// learned about it. It spans several updates, since datagrams are sometimes lost.
 	FreshFor time.Duration
-	// RepairEvery is the pause between two updates that tell what is no longer fresh,
-	// RepairEnds ends at a time: for those who missed them.
+	// RepairEvery is the interval between updates that repeat crashes which are no
+	// longer fresh, RepairEnds at a time, for instances that missed them.
 	RepairEvery time.Duration
 	RepairEnds  int
-	// RecentFor is how long an end is told so whatever ran there; later only those
-	// are that count against a request.
+	// RecentFor is how long a crash is repeated that way whatever requests ran there.
+	// Later it is repeated only if it counts against a request.
 	RecentFor time.Duration
-	// UpdateRan bounds the requests in one update, some 12 bytes each, and UpdateMarks
-	// its marks, some 16 bytes each.
+	// UpdateRan limits the requests in one update, at about 12 bytes each, and
+	// UpdateMarks its marks, at about 16 bytes each.
 	UpdateRan   int
 	UpdateMarks int
 }
 
-// DefaultConfig follows the users' rules.
+// DefaultConfig returns the settings that meet the users' requirements.
 func DefaultConfig() Config {
 	return Config{
 		SuspectCrashes: 2,
--- a/poison/crowd_test.go
+++ b/poison/crowd_test.go
@@ -9,313 +9,317 @@
 	"github.com/mastwheel/mastwheel/racedetector"
 )
 
-// crowd plays requests that crash servers beside many that do not, before instances
-// that tell each other what they see. Time goes in steps.
-type crowd struct {
-	crowdSize
+// simulation runs requests that crash servers beside many harmless ones, with instances
+// that exchange updates. Time advances in fixed steps.
+type simulation struct {
+	simulationConfig
 	random    *rand.Rand
 	now       time.Time
 	steps     int
 	instances []*Tracker
-	servers   []*crowdServer
-	// mail holds what was told and has not arrived.
-	mail []letter
-	// waiting are requests that come again later.
+	servers   []*simulatedServer
+	// inFlight holds updates that have not arrived yet.
+	inFlight []sentUpdate
+	// waiting holds requests that are retried later.
 	waiting []attempt
 	next    int
 
-	figures crowdFigures
-	// crashes holds when servers ended under each request that crashes them, and late
-	// how often one was sent too late.
-	crashes map[int][]time.Time
-	late    map[int]int
+	results simulationResults
+	// crashes holds the times of the crashes that each poison request caused. lateSends
+	// counts how often one was sent later than lateAfter after its third crash.
+	crashes   map[int][]time.Time
+	lateSends map[int]int
 }
 
-// crowdSize is what is played.
-type crowdSize struct {
+// simulationConfig sets what is simulated.
+type simulationConfig struct {
 	instances, servers, poisons int
-	// slots is how many requests run at a server at once.
+	// slots is the number of requests that a server executes at once.
 	slots int
-	// perSecond is how many other requests come.
+	// perSecond is the arrival rate of harmless requests.
 	perSecond float64
-	// retries is how often a caller whose request crashes nothing tries again.
-	retries int
-	lasts   time.Duration
-	// refusedAtMost bounds those that are refused, in a thousand.
-	refusedAtMost float64
+	// retries is how often the caller of a harmless request retries.
+	retries  int
+	duration time.Duration
+	// maxRefusedPerThousand limits the refused harmless requests per thousand.
+	maxRefusedPerThousand float64
 }
 
-// crowdFigures are what the others got.
-type crowdFigures struct {
-	// sound counts requests that crash nothing, and served, refused, delayed and given
-	// up what became of them.
-	sound, served, refused, delayed, lost int
-	ended                                 int
+// simulationResults counts what happened to the harmless requests.
+type simulationResults struct {
+	// harmless counts the harmless requests. served, refused, delayed and lost count
+	// their outcomes: lost ones were given up by their callers.
+	harmless, served, refused, delayed, lost int
+	crashes                                  int
 }
 
-// Times of the crowd: about the users' own.
+// Durations in the simulation, close to those of the users' deployment.
 const (
-	crowdStep  = 10 * time.Millisecond
-	crowdRun   = 600 * time.Millisecond
-	crowdCrash = 50 * time.Millisecond
-	crowdDown  = 3 * time.Second
-	crowdTold  = 60 * time.Millisecond
-	crowdBack  = 250 * time.Millisecond
-	// crowdBeat is how many steps lie between two updates of an instance.
-	crowdBeat  = 10
-	crowdKnown = 3 * time.Second
+	stepDuration      = 10 * time.Millisecond
+	meanExecutionTime = 600 * time.Millisecond
+	crashDelay        = 50 * time.Millisecond
+	restartDelay      = 3 * time.Second
+	networkDelay      = 60 * time.Millisecond
+	retryDelay        = 250 * time.Millisecond
+	// updateSteps is the number of steps between two updates of an instance.
+	updateSteps = 10
+	lateAfter   = 3 * time.Second
 )
 
-// attempt is one attempt of a request. Requests below crowdSize.poisons crash servers.
+// attempt is one attempt of a request. Requests with numbers below
+// simulationConfig.poisons crash servers.
 type attempt struct {
 	number  int
 	retries int
 	at      time.Time
-	// began and ends are when its run does.
-	began     time.Time
-	ends      time.Time
+	// started and endsAt are the start and end of its execution.
+	started   time.Time
+	endsAt    time.Time
 	instance  int
 	admission Admission
 }
 
-type crowdServer struct {
-	name string
-	run  int
-	back time.Time
-	runs []*attempt
+type simulatedServer struct {
+	name        string
+	runNumber   int
+	availableAt time.Time
+	running     []*attempt
 }
 
-type letter struct {
+type sentUpdate struct {
 	at     time.Time
 	from   int
 	update *Update
 }
 
-func newCrowd(size crowdSize, seed uint64) *crowd {
-	c := &crowd{crowdSize: size, random: rand.New(rand.NewPCG(seed, 0)), now: start, next: size.poisons,
-		crashes: make(map[int][]time.Time), late: make(map[int]int)}
-	for range size.instances {
-		c.instances = append(c.instances, New(DefaultConfig(), c.random.Float64, func() int { return size.instances }))
+func newSimulation(config simulationConfig, seed uint64) *simulation {
+	s := &simulation{simulationConfig: config, random: rand.New(rand.NewPCG(seed, 0)), now: start, next: config.poisons,
+		crashes: make(map[int][]time.Time), lateSends: make(map[int]int)}
+	for range config.instances {
+		s.instances = append(s.instances, New(DefaultConfig(), s.random.Float64, func() int { return config.instances }))
 	}
-	for i := range size.servers {
-		c.servers = append(c.servers, &crowdServer{name: fmt.Sprint("s", i)})
+	for i := range config.servers {
+		s.servers = append(s.servers, &simulatedServer{name: fmt.Sprint("s", i)})
 	}
-	for number := range size.poisons {
-		c.waiting = append(c.waiting, attempt{number: number, at: start.Add(time.Duration(c.random.Float64() * float64(time.Second)))})
+	for number := range config.poisons {
+		s.waiting = append(s.waiting, attempt{number: number, at: start.Add(time.Duration(s.random.Float64() * float64(time.Second)))})
 	}
-	return c
+	return s
 }
 
-func (c *crowd) play() {
-	for ; c.now.Before(start.Add(c.lasts)); c.steps++ {
-		c.now = c.now.Add(crowdStep)
-		c.deliver()
-		for _, server := range c.servers {
-			c.work(server)
+func (s *simulation) run() {
+	for ; s.now.Before(start.Add(s.duration)); s.steps++ {
+		s.now = s.now.Add(stepDuration)
+		s.deliver()
+		for _, server := range s.servers {
+			s.advance(server)
 		}
-		arrivals := c.perSecond * crowdStep.Seconds()
-		for ; c.random.Float64() < arrivals; arrivals-- {
-			c.figures.sound++
-			c.arrive(attempt{number: c.next})
-			c.next++
+		arrivals := s.perSecond * stepDuration.Seconds()
+		for ; s.random.Float64() < arrivals; arrivals-- {
+			s.results.harmless++
+			s.arrive(attempt{number: s.next})
+			s.next++
 		}
-		c.comeBack()
-		for i, tracker := range c.instances {
-			if (c.steps+i)%crowdBeat != 0 {
+		s.retryDue()
+		for i, tracker := range s.instances {
+			if (s.steps+i)%updateSteps != 0 {
 				continue
 			}
-			tracker.Tick(c.now)
-			if update := tracker.Update(c.now); update != nil {
-				c.mail = append(c.mail, letter{at: c.now.Add(crowdTold), from: i, update: update})
+			tracker.Tick(s.now)
+			if update := tracker.Update(s.now); update != nil {
+				s.inFlight = append(s.inFlight, sentUpdate{at: s.now.Add(networkDelay), from: i, update: update})
 			}
 		}
 	}
 }
 
-// deliver has what was told arrive at all others.
-func (c *crowd) deliver() {
+// deliver passes the updates that have arrived to all other instances.
+func (s *simulation) deliver() {
 	arrived := 0
-	for _, one := range c.mail {
-		if one.at.After(c.now) {
+	for _, a := range s.inFlight {
+		if a.at.After(s.now) {
 			break
 		}
 		arrived++
-		for i, tracker := range c.instances {
-			if i != one.from {
-				tracker.Merge(one.update, false, c.now)
+		for i, tracker := range s.instances {
+			if i != a.from {
+				tracker.Merge(a.update, false, s.now)
 			}
 		}
 	}
-	c.mail = c.mail[arrived:]
+	s.inFlight = s.inFlight[arrived:]
 }
 
-// work takes the runs of a server on.
-func (c *crowd) work(server *crowdServer) {
-	left := server.runs[:0]
-	for _, run := range server.runs {
+// advance completes the executions on a server that end by now.
+func (s *simulation) advance(server *simulatedServer) {
+	remaining := server.running[:0]
+	for _, run := range server.running {
 		switch {
-		case run.ends.After(c.now):
-			left = append(left, run)
-		case run.number < c.poisons:
-			c.crash(server, run)
+		case run.endsAt.After(s.now):
+			remaining = append(remaining, run)
+		case run.number < s.poisons:
+			s.crash(server, run)
 			return
 		default:
-			c.instances[run.instance].Completed(request(run.number), c.now)
+			s.instances[run.instance].Completed(request(run.number), s.now)
 			run.admission.Release()
-			c.figures.served++
+			s.results.served++
 		}
 	}
-	server.runs = left
+	server.running = remaining
 }
 
-// crash ends a server with all that runs there.
-func (c *crowd) crash(server *crowdServer, cause *attempt) {
-	c.figures.ended++
-	c.crashes[cause.number] = append(c.crashes[cause.number], c.now)
-	name := fmt.Sprint(server.name, "-", server.run)
+// crash has a server crash with all requests that are running there.
+func (s *simulation) crash(server *simulatedServer, cause *attempt) {
+	s.results.crashes++
+	s.crashes[cause.number] = append(s.crashes[cause.number], s.now)
+	name := fmt.Sprint(server.name, "-", server.runNumber)
 	noticed := make(map[int]bool)
-	for _, run := range server.runs {
-		c.instances[run.instance].Broke(name, request(run.number), run.began, c.now)
+	for _, run := range server.running {
+		s.instances[run.instance].Broke(name, request(run.number), run.started, s.now)
 		noticed[run.instance] = true
 		run.admission.Release()
-		c.again(*run, crowdBack, &c.figures.lost)
+		s.retryLater(*run, retryDelay, &s.results.lost)
 	}
 	for instance := range noticed {
-		c.instances[instance].Crashed(name, c.now)
+		s.instances[instance].Crashed(name, s.now)
 	}
-	server.run++
-	server.back = c.now.Add(crowdDown)
-	server.runs = nil
+	server.runNumber++
+	server.availableAt = s.now.Add(restartDelay)
+	server.running = nil
 }
 
-// again has a request come again, if its caller tries once more; lost counts it if not.
-func (c *crowd) again(one attempt, after time.Duration, lost *int) {
-	if one.number >= c.poisons {
-		if one.retries >= c.crowdSize.retries {
+// retryLater schedules a retry of a request. If its caller makes no more retries, it
+// increments lost instead.
+func (s *simulation) retryLater(a attempt, after time.Duration, lost *int) {
+	if a.number >= s.poisons {
+		if a.retries >= s.simulationConfig.retries {
 			*lost++
 			return
 		}
-		one.retries++
+		a.retries++
 	}
-	one.at = c.now.Add(after/2 + time.Duration(c.random.Float64()*float64(after)))
-	one.admission = Admission{}
-	c.waiting = append(c.waiting, one)
+	a.at = s.now.Add(after/2 + time.Duration(s.random.Float64()*float64(after)))
+	a.admission = Admission{}
+	s.waiting = append(s.waiting, a)
 }
 
-func (c *crowd) comeBack() {
-	waiting := c.waiting
-	c.waiting = nil
-	for _, one := range waiting {
-		if one.at.After(c.now) {
-			c.waiting = append(c.waiting, one)
+func (s *simulation) retryDue() {
+	waiting := s.waiting
+	s.waiting = nil
+	for _, a := range waiting {
+		if a.at.After(s.now) {
+			s.waiting = append(s.waiting, a)
 			continue
 		}
-		c.arrive(one)
+		s.arrive(a)
 	}
 }
 
-// arrive has a request come to any instance.
-func (c *crowd) arrive(one attempt) {
-	one.instance = c.random.IntN(c.crowdSize.instances)
-	one.admission = c.instances[one.instance].Admit(request(one.number), c.now)
-	sound := one.number >= c.poisons
-	switch one.admission.Decision {
+// arrive has a request arrive at a random instance.
+func (s *simulation) arrive(a attempt) {
+	a.instance = s.random.IntN(s.simulationConfig.instances)
+	a.admission = s.instances[a.instance].Admit(request(a.number), s.now)
+	sound := a.number >= s.poisons
+	switch a.admission.Decision {
 	case Refuse:
 		if sound {
-			c.figures.refused++
+			s.results.refused++
 			return
 		}
-		c.again(one, crowdBack, nil)
+		s.retryLater(a, retryDelay, nil)
 		return
 	case Wait:
 		if sound {
-			c.figures.delayed++
+			s.results.delayed++
 		}
-		c.again(one, crowdBack, &c.figures.lost)
+		s.retryLater(a, retryDelay, &s.results.lost)
 		return
 	}
-	server := c.choose(one.admission.Decision == Probe)
+	server := s.selectServer(a.admission.Decision == Probe)
 	if server == nil {
-		one.admission.Release()
-		c.again(one, crowdBack, &c.figures.lost)
+		a.admission.Release()
+		s.retryLater(a, retryDelay, &s.results.lost)
 		return
 	}
-	one.began = c.now
-	one.ends = c.now.Add(time.Duration((0.5 + c.random.Float64()) * float64(crowdRun)))
+	a.started = s.now
+	a.endsAt = s.now.Add(time.Duration((0.5 + s.random.Float64()) * float64(meanExecutionTime)))
 	if !sound {
-		one.ends = c.now.Add(crowdCrash)
-		if seen := c.crashes[one.number]; len(seen) >= 3 && c.now.Sub(seen[2]) > crowdKnown {
-			c.late[one.number]++
+		a.endsAt = s.now.Add(crashDelay)
+		if seen := s.crashes[a.number]; len(seen) >= 3 && s.now.Sub(seen[2]) > lateAfter {
+			s.lateSends[a.number]++
 		}
 	}
-	server.runs = append(server.runs, &one)
+	server.running = append(server.running, &a)
 }
 
-// choose picks the better of two servers, or for a probe the one with the fewest runs.
-func (c *crowd) choose(probe bool) *crowdServer {
-	var best *crowdServer
-	consider := func(server *crowdServer) {
-		if server.back.After(c.now) || len(server.runs) >= c.slots {
+// selectServer returns the server with the fewest running requests: of four random
+// draws for an ordinary request, of all servers for a probe.
+func (s *simulation) selectServer(probe bool) *simulatedServer {
+	var best *simulatedServer
+	consider := func(server *simulatedServer) {
+		if server.availableAt.After(s.now) || len(server.running) >= s.slots {
 			return
 		}
-		if best == nil || len(server.runs) < len(best.runs) {
+		if best == nil || len(server.running) < len(best.running) {
 			best = server
 		}
 	}
 	if probe {
-		for _, server := range c.servers {
+		for _, server := range s.servers {
 			consider(server)
 		}
 		return best
 	}
 	for range 4 {
-		consider(c.servers[c.random.IntN(len(c.servers))])
+		consider(s.servers[s.random.IntN(len(s.servers))])
 	}
 	return best
 }
 
-// TestCrowdsAreNotBlamedForWhatOneRequestDoes plays 1, 3 and 20 requests that crash
-// servers, all at once, each sent again every quarter of a second.
-func TestCrowdsAreNotBlamedForWhatOneRequestDoes(t *testing.T) {
-	sizes := []crowdSize{
-		{instances: 8, servers: 9, slots: 24, perSecond: 60, retries: 2, lasts: 40 * time.Second, refusedAtMost: 1},
-		// Callers that never give up: nearly all servers are down, and they try again
-		// until one of their attempts is not lost with its server.
-		{instances: 8, servers: 9, slots: 24, perSecond: 60, retries: 1000, lasts: 40 * time.Second, refusedAtMost: 25},
-		{instances: 60, servers: 48, slots: 24, perSecond: 300, retries: 2, lasts: 15 * time.Second, refusedAtMost: 1},
-		{instances: 295, servers: 74, slots: 24, perSecond: 450, retries: 2, lasts: 6 * time.Second, refusedAtMost: 1},
+// Harmless requests must not be blamed for crashes that others cause. The test
+// simulates 1, 3 and 20 requests that crash servers, all starting within a second, each
+// retried about every quarter of a second.
+func TestHarmlessRequestsAreRarelyRefused(t *testing.T) {
+	configs := []simulationConfig{
+		{instances: 8, servers: 9, slots: 24, perSecond: 60, retries: 2, duration: 40 * time.Second, maxRefusedPerThousand: 1},
+		// Callers that hardly ever give up: nearly all servers are down, and callers
+		// retry until an attempt is not lost with its server.
+		{instances: 8, servers: 9, slots: 24, perSecond: 60, retries: 1000, duration: 40 * time.Second, maxRefusedPerThousand: 25},
+		{instances: 60, servers: 48, slots: 24, perSecond: 300, retries: 2, duration: 15 * time.Second, maxRefusedPerThousand: 1},
+		{instances: 295, servers: 74, slots: 24, perSecond: 450, retries: 2, duration: 6 * time.Second, maxRefusedPerThousand: 1},
 	}
-	for _, size := range sizes {
+	for _, config := range configs {
 		for _, poisons := range []int{1, 3, 20} {
-			if racedetector.On && size.instances > 8 {
+			if racedetector.On && config.instances > 8 {
 				continue
 			}
-			size.poisons = poisons
-			t.Run(fmt.Sprintf("%d instances, %d requests, %d retries", size.instances, poisons, size.retries), func(t *testing.T) {
-				c := newCrowd(size, 1)
-				c.play()
-				c.check(t)
+			config.poisons = poisons
+			t.Run(fmt.Sprintf("%d instances, %d requests, %d retries", config.instances, poisons, config.retries), func(t *testing.T) {
+				s := newSimulation(config, 1)
+				s.run()
+				s.check(t)
 			})
 		}
 	}
 }
 
-func (c *crowd) check(t *testing.T) {
-	f := c.figures
+func (s *simulation) check(t *testing.T) {
+	f := s.results
 	worst, slowest := 0, time.Duration(0)
-	for number := range c.poisons {
-		worst = max(worst, len(c.crashes[number]))
-		if seen := c.crashes[number]; len(seen) >= 3 {
+	for number := range s.poisons {
+		worst = max(worst, len(s.crashes[number]))
+		if seen := s.crashes[number]; len(seen) >= 3 {
 			slowest = max(slowest, seen[2].Sub(seen[0]))
 		}
-		if c.late[number] > 3 {
-			t.Errorf("request %d was sent %d times too late", number, c.late[number])
+		if s.lateSends[number] > 3 {
+			t.Errorf("poison request %d was sent %d times after it should have been blocked", number, s.lateSends[number])
 		}
 	}
-	perThousand := func(count int) float64 { return 1000 * float64(count) / float64(f.sound) }
-	t.Logf("%d servers ended, %d at most under one request, its third after %v; of %d others %.1f in 1,000 refused, %.1f waited for a probe, %.1f lost",
-		f.ended, worst, slowest, f.sound, perThousand(f.refused), perThousand(f.delayed), perThousand(f.lost))
-	if perThousand(f.refused) > c.refusedAtMost {
-		t.Errorf("%.1f in 1,000 of those that crash nothing were refused", perThousand(f.refused))
+	perThousand := func(count int) float64 { return 1000 * float64(count) / float64(f.harmless) }
+	t.Logf("%d servers crashed, at most %d of them during one request, at most %v from its first to its third crash. Of %d harmless requests, %.1f in 1,000 were refused, %.1f delayed by a probe, %.1f lost",
+		f.crashes, worst, slowest, f.harmless, perThousand(f.refused), perThousand(f.delayed), perThousand(f.lost))
+	if perThousand(f.refused) > s.maxRefusedPerThousand {
+		t.Errorf("%.1f in 1,000 harmless requests were refused", perThousand(f.refused))
 	}
 }
--- a/poison/judge.go
+++ b/poison/judge.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// Decision says what becomes of a request that has arrived.
+// Decision is what happens to a request that has arrived.
 type Decision string
 
 const (
-	// Run: it is sent to a server as usual.
+	// Run: the request is sent to a server as usual.
 	Run Decision = "run"
-	// Probe: it is sent once, where the fewest others are lost if the server ends.
+	// Probe: the request is sent once, to the server where the fewest other requests
+	// are lost if it crashes.
 	Probe Decision = "probe"
-	// Wait: it has not run; its caller may come back, since the same request is being
-	// probed, or is to be soon.
+	// Wait: the request was not executed. Its caller may retry, since the same request
+	// is being probed or soon will be.
 	Wait Decision = "wait"
-	// Refuse: it has crashed servers, and is sent to none.
+	// Refuse: the request has crashed servers, and is not sent to any.
 	Refuse Decision = "refuse"
 )
 
-// Admission is how a request was admitted. The zero value is that of a request against
-// which nothing speaks.
+// Admission is the result of admitting a request. The zero value stands for a request
+// that is not under suspicion.
 type Admission struct {
 	Decision Decision
-	// Transition is what was known of the request.
+	// Transition is what was known about the request.
 	Transition
 	release func()
 }
 
-// Release must be called when a request has ended that was admitted.
+// Release must be called when an admitted request has ended.
 func (a Admission) Release() {
 	if a.release != nil {
 		a.release()
 	}
 }
 
-// Suspicious says whether there are requests that are not clear: else none needs to ask
-// for admission.
+// Suspicious reports whether any request is not clear. If none is, requests need no
+// call to Admit.
 func (t *Tracker) Suspicious() bool { return len(*t.suspects.Load()) > 0 }
 
-// Admit decides on a request that has arrived.
+// Admit decides what happens to a request that has arrived.
 func (t *Tracker) Admit(request Fingerprints, now time.Time) Admission {
 	found := t.find(request)
 	if found == nil {
@@ -51,62 +52,63 @@
 		admission.Decision = Refuse
 	}
 	scheduled := found.State == Blocked || found.Tied
-	if scheduled && !t.probeDue(found, now) {
+	if scheduled && !t.shouldProbe(found, now) {
 		return admission
 	}
 	if !found.probing.CompareAndSwap(false, true) {
 		return admission
 	}
 	if scheduled {
-		t.beginProbe(found.Request, now)
+		t.recordProbe(found.Request, now)
 	}
 	admission.Decision, admission.release = Probe, func() { found.probing.Store(false) }
 	return admission
 }
 
-// probeDue draws whether this instance is the one to probe a request: all know when a
-// probe is due, and each that is made costs a server if the request is to blame.
-func (t *Tracker) probeDue(found *suspect, now time.Time) bool {
-	over := now.Sub(found.probeAt)
-	if over < 0 {
+// shouldProbe reports whether this instance probes a request now, by a random draw once
+// the probe is due. All instances know when it is due, and each probe costs a server if
+// the request is to blame.
+func (t *Tracker) shouldProbe(found *suspect, now time.Time) bool {
+	overdue := now.Sub(found.probeAt)
+	if overdue < 0 {
 		return false
 	}
-	doubled := float64(uint64(1) << min(over/t.config.ProbeSpread, maxDoublings))
+	doubled := float64(uint64(1) << min(overdue/t.config.ProbeSpread, maxDoublings))
 	return t.random() < doubled/float64(max(t.instances(), 1))
 }
 
-// maxDoublings keeps the doubling within a float's range; by then any number of
-// instances probes for certain.
+// maxDoublings keeps the doubling within the range of a float. At this many doublings
+// the probability is 1 for any number of instances.
 const maxDoublings = 30
 
-// beginProbe notes that a probe begins, for all instances.
-func (t *Tracker) beginProbe(request Fingerprint, now time.Time) {
+// recordProbe records the start of a probe, and shares it with all instances.
+func (t *Tracker) recordProbe(request Fingerprint, now time.Time) {
 	t.mu.Lock()
 	count := t.probes[request].count + 1
-	news := t.probed(request, now, count, now.Add(t.config.FreshFor))
-	changes := t.judge()
+	isNew := t.markProbed(request, now, count, now.Add(t.config.FreshFor))
+	changes := t.reevaluate()
 	t.mu.Unlock()
-	t.tell(changes, news)
+	t.notify(changes, isNew)
 }
 
-// judge finds out anew what is known of requests, if anything has changed that they are
-// judged by, and returns what is different. The caller holds the lock.
-func (t *Tracker) judge() []Transition {
-	if !t.unjudged {
+// reevaluate recomputes the suspects if anything that they depend on has changed, and
+// returns the transitions. The caller holds the lock.
+func (t *Tracker) reevaluate() []Transition {
+	if !t.needsEvaluation {
 		return nil
 	}
-	t.unjudged = false
+	t.needsEvaluation = false
 	before := *t.suspects.Load()
 	next := make(map[Fingerprint]*suspect)
-	for request, blame := range t.config.attribute(t.several) {
-		next[request] = t.suspectOf(request, blame, before[request])
+	for request, blame := range t.config.attribute(t.candidates) {
+		next[request] = t.evaluate(request, blame, before[request])
 	}
 	t.suspects.Store(&next)
-	return differences(before, next)
+	return transitions(before, next)
 }
 
-// suspectOf is what the blame for ends means for a request.
-func (t *Tracker) suspectOf(request Fingerprint, blame blame, before *suspect) *suspect {
+// evaluate returns the suspect entry of a request that is blamed for crashes.
+func (t *Tracker) evaluate(request Fingerprint, blame blame, before *suspect) *suspect {
 	found := &suspect{Transition: Transition{Request: request, Before: Clear, State: Suspect, Crashes: blame.crashes, Tied: blame.tied}}
 	found.probing = new(atomic.Bool)
 	if before != nil {
@@ -121,38 +123,41 @@
 		found.probeAt = probe.at.Add(t.config.TiedProbeAfter)
 	default:
 		found.State = Blocked
-		last := t.lastEnd(request)
+		last := t.lastCrash(request)
 		if probe.at.After(last) {
 			last = probe.at
 		}
-		found.probeAt = last.Add(t.probePause(max(probe.count, t.beyondBlock(request, blame))))
+		found.probeAt = last.Add(t.probeDelay(max(probe.count, t.crashesBeyondBlock(request, blame))))
 	}
 	return found
 }
 
-// beyondBlock counts the ends under a request that came after those for which it would
-// have been blocked, had they been known at once: each was as good as a probe. Of a call
-// that many send, several run at a time.
-func (t *Tracker) beyondBlock(request Fingerprint, blame blame) int {
-	if request.ofAll() {
+// crashesBeyondBlock counts the crashes beyond those for which a request would have
+// been blocked if they had been known at once. Each of them was as good as a probe. The
+// fingerprint of all callers counts only crashes of successive executions, since the
+// callers' requests run concurrently.
+func (t *Tracker) crashesBeyondBlock(request Fingerprint, blame blame) int {
+	if request.ofAllCallers() {
 		return blame.crashes - t.config.BlockCrashes
 	}
-	return len(t.ran[request]) - t.config.BlockCrashes
+	return len(t.crashesOf[request]) - t.config.BlockCrashes
 }
 
-// lastEnd is when a server last ended under a request. The caller holds the lock.
-func (t *Tracker) lastEnd(request Fingerprint) time.Time {
+// lastCrash returns the time of the last crash during a request. The caller holds the
+// lock.
+func (t *Tracker) lastCrash(request Fingerprint) time.Time {
 	var last time.Time
-	for _, one := range t.ran[request] {
-		if one.ended.After(last) {
-			last = one.ended
+	for _, execution := range t.crashesOf[request] {
+		if execution.crashed.After(last) {
+			last = execution.crashed
 		}
 	}
 	return last
 }
 
-// probePause is the pause before a blocked request is probed that was probed so often.
-func (t *Tracker) probePause(probes int) time.Duration {
+// probeDelay returns the delay before the next probe of a blocked request, given the
+// number of probes so far.
+func (t *Tracker) probeDelay(probes int) time.Duration {
 	pause := t.config.ProbeAfter
 	for range probes {
 		pause = min(pause*time.Duration(t.config.ProbeFactor), t.config.ProbeAtMost)
@@ -163,8 +168,9 @@
 	return pause
 }
 
-// differences lists the requests of which something else is known than before.
-func differences(before, next map[Fingerprint]*suspect) []Transition {
+// transitions lists the requests whose state, crashes or probes differ between before
+// and next.
+func transitions(before, next map[Fingerprint]*suspect) []Transition {
 	var changes []Transition
 	for request, now := range next {
 		if old := before[request]; old == nil || old.State != now.State || old.Crashes != now.Crashes || old.Probes != now.Probes {
--- a/poison/memory.go
+++ b/poison/memory.go
@@ -5,64 +5,67 @@
 	"time"
 )
 
-// What a tracker remembers: ends of servers with what ran there, and marks of requests.
+// This file holds the records of a tracker: crashes of servers with the requests that
+// were running there, and marks of requests.
 
-// ended takes in that a server ended under requests, which began then. It returns whether
-// any of that was new. The caller holds the lock.
-func (t *Tracker) ended(server serverRun, at time.Time, ran map[Fingerprint]time.Time, freshUntil, now time.Time) (news bool) {
-	one := t.ends[server]
-	if runs := t.broken[server]; runs != nil {
-		ran = maps.Clone(ran)
-		if ran == nil {
-			ran = make(map[Fingerprint]time.Time)
+// addCrash records that a server run crashed during requests that started at the given
+// times. It returns whether any of that was new. The caller holds the lock.
+func (t *Tracker) addCrash(server serverRun, at time.Time, started map[Fingerprint]time.Time, freshUntil, now time.Time) (isNew bool) {
+	crash := t.crashes[server]
+	if pending := t.unconfirmed[server]; pending != nil {
+		started = maps.Clone(started)
+		if started == nil {
+			started = make(map[Fingerprint]time.Time)
 		}
-		maps.Copy(ran, runs.ran)
-		delete(t.broken, server)
-		if runs.since.Before(at) {
-			at = runs.since
+		maps.Copy(started, pending.started)
+		delete(t.unconfirmed, server)
+		if pending.since.Before(at) {
+			at = pending.since
 		}
-		// What was seen here is told to all, whoever noticed the end.
+		// Requests that were observed here are sent to all instances, whichever
+		// instance detected the crash.
 		freshUntil = now.Add(t.config.FreshFor)
 	}
-	if one == nil {
-		if len(ran) == 0 || !t.makeRoom(at) {
+	if crash == nil {
+		if len(started) == 0 || !t.evictOldest(at) {
 			return false
 		}
-		one = &end{at: at, ran: make(map[Fingerprint]participant)}
-		t.ends[server] = one
+		crash = &crashRecord{at: at, requests: make(map[Fingerprint]runningRequest)}
+		t.crashes[server] = crash
 	}
-	if at.Before(one.at) {
-		one.at = at
-		news = t.recount(server)
+	if at.Before(crash.at) {
+		crash.at = at
+		isNew = t.recount(server)
 	}
-	for request, began := range ran {
-		if _, known := one.ran[request]; known || len(one.ran) >= t.config.MostRan {
+	for request, startedAt := range started {
+		if _, known := crash.requests[request]; known || len(crash.requests) >= t.config.MostRan {
 			continue
 		}
-		news = true
-		counts := one.at.After(t.cleared[request].at)
-		one.ran[request] = participant{began: began, counts: counts}
+		isNew = true
+		counts := crash.at.After(t.cleared[request].at)
+		crash.requests[request] = runningRequest{started: startedAt, counts: counts}
 		if counts {
-			t.addRun(request, server)
+			t.linkCrash(request, server)
 		}
 	}
-	if news && freshUntil.After(one.freshUntil) {
-		one.freshUntil = freshUntil
+	if isNew && freshUntil.After(crash.freshUntil) {
+		crash.freshUntil = freshUntil
 	}
-	t.remembers.Store(true)
-	return news
+	t.hasRecords.Store(true)
+	return isNew
 }
 
-// recount takes the requests off an end that ran to a good end after it, now that it is
-// known to be earlier. It returns whether there were any. The caller holds the lock.
+// recount stops counting a crash against requests that completed after it, now that the
+// crash is known to be earlier than recorded. It returns whether there were any. The
+// caller holds the lock.
 func (t *Tracker) recount(server serverRun) (changed bool) {
-	one := t.ends[server]
-	for request, its := range one.ran {
+	crash := t.crashes[server]
+	for request, running := range crash.requests {
 		switch {
-		case !its.counts:
-		case one.at.After(t.cleared[request].at):
-			t.ran[request][server] = run{began: its.began, ended: one.at}
-			t.unjudged = true
+		case !running.counts:
+		case crash.at.After(t.cleared[request].at):
+			t.crashesOf[request][server] = execution{started: running.started, crashed: crash.at}
+			t.needsEvaluation = true
 		default:
 			t.uncount(server, request)
 			changed = true
@@ -71,91 +74,92 @@
 	return changed
 }
 
-// uncount takes a request off an end. The caller holds the lock.
+// uncount stops counting a crash against a request. The caller holds the lock.
 func (t *Tracker) uncount(server serverRun, request Fingerprint) {
-	its := t.ends[server].ran[request]
-	its.counts = false
-	t.ends[server].ran[request] = its
-	t.dropRun(request, server)
+	running := t.crashes[server].requests[request]
+	running.counts = false
+	t.crashes[server].requests[request] = running
+	t.unlinkCrash(request, server)
 }
 
-func (t *Tracker) addRun(request Fingerprint, server serverRun) {
-	if t.ran[request] == nil {
-		t.ran[request] = make(ends)
-		t.known.Store(request, struct{}{})
+func (t *Tracker) linkCrash(request Fingerprint, server serverRun) {
+	if t.crashesOf[request] == nil {
+		t.crashesOf[request] = make(crashSet)
+		t.knownFingerprints.Store(request, struct{}{})
 	}
-	one := t.ends[server]
-	t.ran[request][server] = run{began: one.ran[request].began, ended: one.at}
-	if len(t.ran[request]) >= t.config.SuspectCrashes {
-		t.several[request] = t.ran[request]
-		t.unjudged = true
+	crash := t.crashes[server]
+	t.crashesOf[request][server] = execution{started: crash.requests[request].started, crashed: crash.at}
+	if len(t.crashesOf[request]) >= t.config.SuspectCrashes {
+		t.candidates[request] = t.crashesOf[request]
+		t.needsEvaluation = true
 	}
 }
 
-// makeRoom forgets the oldest end if there are too many. It returns false if that is the
-// one to be added. The caller holds the lock.
-func (t *Tracker) makeRoom(at time.Time) bool {
-	if len(t.ends) < t.config.MostEnds {
+// evictOldest drops the oldest crash if there is no room for another one. It returns
+// false if the new crash, at the given time, is older than all others. The caller holds
+// the lock.
+func (t *Tracker) evictOldest(at time.Time) bool {
+	if len(t.crashes) < t.config.MostEnds {
 		return true
 	}
-	oldest := t.byAge()[0]
-	if at.Before(t.ends[oldest].at) {
+	oldest := t.crashesByAge()[0]
+	if at.Before(t.crashes[oldest].at) {
 		return false
 	}
-	t.forget(oldest)
+	t.dropCrash(oldest)
 	return true
 }
 
-// forget drops an end. The caller holds the lock.
-func (t *Tracker) forget(server serverRun) {
-	for request := range t.ends[server].ran {
-		t.dropRun(request, server)
+// dropCrash drops the record of a crash. The caller holds the lock.
+func (t *Tracker) dropCrash(server serverRun) {
+	for request := range t.crashes[server].requests {
+		t.unlinkCrash(request, server)
 	}
-	delete(t.ends, server)
+	delete(t.crashes, server)
 }
 
-func (t *Tracker) dropRun(request Fingerprint, server serverRun) {
-	delete(t.ran[request], server)
-	if t.several[request] != nil {
-		t.unjudged = true
+func (t *Tracker) unlinkCrash(request Fingerprint, server serverRun) {
+	delete(t.crashesOf[request], server)
+	if t.candidates[request] != nil {
+		t.needsEvaluation = true
 	}
-	if len(t.ran[request]) < t.config.SuspectCrashes {
-		delete(t.several, request)
+	if len(t.crashesOf[request]) < t.config.SuspectCrashes {
+		delete(t.candidates, request)
 	}
-	if len(t.ran[request]) == 0 {
-		delete(t.ran, request)
-		t.forgetUnlessKnown(request)
+	if len(t.crashesOf[request]) == 0 {
+		delete(t.crashesOf, request)
+		t.dropUnusedFingerprint(request)
 	}
 }
 
-// clear takes in that a request ran to a good end: what ended under it before did so for
-// another reason. It returns whether that was new. The caller holds the lock.
-func (t *Tracker) clear(request Fingerprint, at, freshUntil time.Time) (news bool) {
+// markCleared records that a request completed, so that earlier crashes during it had
+// another cause. It returns whether that was new. The caller holds the lock.
+func (t *Tracker) markCleared(request Fingerprint, at, freshUntil time.Time) (isNew bool) {
 	before, known := t.cleared[request]
 	if known && !at.After(before.at) {
 		return false
 	}
-	for server := range t.ran[request] {
-		if one := t.ends[server]; !one.at.After(at) {
+	for server := range t.crashesOf[request] {
+		if crash := t.crashes[server]; !crash.at.After(at) {
 			t.uncount(server, request)
-			news = true
+			isNew = true
 		}
 	}
 	if !known && len(t.cleared) >= t.config.MostEnds {
 		dropOldest(t.cleared)
 	}
 	next := mark{at: at, count: before.count + 1}
-	if news {
+	if isNew {
 		next.freshUntil = freshUntil
 	}
 	t.cleared[request] = next
 	delete(t.probes, request)
-	return news
+	return isNew
 }
 
-// probed takes in that a probe of a request began. It returns whether that was new. The
-// caller holds the lock.
-func (t *Tracker) probed(request Fingerprint, at time.Time, count int, freshUntil time.Time) bool {
+// markProbed records the start of a probe of a request. It returns whether that was
+// new. The caller holds the lock.
+func (t *Tracker) markProbed(request Fingerprint, at time.Time, count int, freshUntil time.Time) bool {
 	before, known := t.probes[request]
 	if (known && count <= before.count) || !at.After(t.cleared[request].at) {
 		return false
@@ -164,16 +168,16 @@
 		dropOldest(t.probes)
 	}
 	t.probes[request] = mark{at: at, count: count, freshUntil: freshUntil}
-	t.unjudged = true
+	t.needsEvaluation = true
 	return true
 }
 
-// dropOldest drops the mark that lies back furthest.
+// dropOldest deletes the oldest mark.
 func dropOldest(marks map[Fingerprint]mark) {
 	var oldest Fingerprint
 	first := true
-	for request, one := range marks {
-		if first || one.at.Before(marks[oldest].at) {
+	for request, candidate := range marks {
+		if first || candidate.at.Before(marks[oldest].at) {
 			oldest, first = request, false
 		}
 	}
--- a/poison/tracker.go
+++ b/poison/tracker.go
@@ -9,191 +9,197 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what is known of a request.
+// State is what is known about a request.
 type State string
 
 const (
-	// Clear: nothing speaks against it.
+	// Clear: the request is not under suspicion.
 	Clear State = "clear"
-	// Suspect: servers ended under it; its runs are probes.
+	// Suspect: servers crashed during the request, and its executions are probes.
 	Suspect State = "suspect"
-	// Blocked: it crashes servers, and is not sent to any.
+	// Blocked: the request crashes servers, and is not sent to any.
 	Blocked State = "blocked"
 )
 
-// Transition is a change of what is known of a request.
+// Transition is a change of what is known about a request.
 type Transition struct {
 	Request       Fingerprint
 	Before, State State
-	// Crashes counts the servers that ended under it and that no other explains.
+	// Crashes counts the servers that crashed during the request and whose crash no
+	// other request explains.
 	Crashes int
-	// Tied is set if it cannot be told apart from another request.
+	// Tied is set if the request cannot be told apart from another one.
 	Tied bool
-	// Probes counts the probes that were made of it.
+	// Probes counts the probes of the request so far.
 	Probes int
 }
 
-// Tracker remembers which requests ran at servers when these ended, at this instance
-// and at others. Requests read it without a lock while no server has ended.
+// Tracker records which requests were running on servers when the servers crashed, as
+// seen by this instance and by others. Requests read it without a lock while no crash
+// is recorded.
 type Tracker struct {
 	config Config
 	random func() float64
-	// instances returns how many instances there are.
+	// instances returns the number of instances.
 	instances func() int
-	// remembers is set while some end of a server is remembered.
-	remembers atomic.Bool
-	// suspects is what requests are judged by; a new one takes its place with each
-	// change. known holds the fingerprints that ran at a server when it ended.
-	suspects atomic.Pointer[map[Fingerprint]*suspect]
-	known    sync.Map
+	// hasRecords is set while any crash or unconfirmed crash is recorded.
+	hasRecords atomic.Bool
+	// suspects holds the requests that are not clear. Each change replaces the map.
+	// knownFingerprints holds the fingerprints of requests that were running during a
+	// recorded crash, confirmed or not.
+	suspects          atomic.Pointer[map[Fingerprint]*suspect]
+	knownFingerprints sync.Map
 
-	mu     sync.Mutex
-	ends   map[serverRun]*end
-	broken map[serverRun]*brokenRuns
-	// ran holds the servers that ended under each request since it was cleared, and
-	// several those of the requests under which more than one did.
-	ran     map[Fingerprint]ends
-	several map[Fingerprint]ends
-	// unjudged is set while several, or a probe, has changed since it was judged by.
-	unjudged bool
-	cleared  map[Fingerprint]mark
-	probes   map[Fingerprint]mark
-	// changed and news, if set, are told of transitions, and that others should be told
-	// something now.
-	changed func(Transition)
-	news    func()
-	// repaired is when an update last told what is no longer fresh, and turn whose
-	// turn it is.
-	repaired time.Time
-	turn     int
+	mu          sync.Mutex
+	crashes     map[serverRun]*crashRecord
+	unconfirmed map[serverRun]*unconfirmedCrash
+	// crashesOf holds the crashes during each request since it was last cleared.
+	// candidates holds those of the requests with at least Config.SuspectCrashes of
+	// them.
+	crashesOf  map[Fingerprint]crashSet
+	candidates map[Fingerprint]crashSet
+	// needsEvaluation is set if candidates or a probe has changed since the suspects
+	// were computed.
+	needsEvaluation bool
+	cleared         map[Fingerprint]mark
+	probes          map[Fingerprint]mark
+	// onTransition, if set, is called for each transition. onUpdate, if set, is called
+	// when there is something new to send to other instances.
+	onTransition func(Transition)
+	onUpdate     func()
+	// lastRepair is when an update last repeated records that are no longer fresh.
+	// nextRepair is the index of the next crash to repeat.
+	lastRepair time.Time
+	nextRepair int
 }
 
-// end is the end of a server's run.
-type end struct {
+// crashRecord is the crash of a server run.
+type crashRecord struct {
 	at time.Time
-	// ran holds the requests that ran there.
-	ran        map[Fingerprint]participant
+	// requests holds the requests that were running on the server.
+	requests   map[Fingerprint]runningRequest
 	freshUntil time.Time
 }
 
-// participant is a request that ran at a server when it ended.
-type participant struct {
-	began time.Time
-	// counts is set unless it ran to a good end since.
+// runningRequest is a request that was running on a server when the server crashed.
+type runningRequest struct {
+	started time.Time
+	// counts is set unless the request has completed after the crash.
 	counts bool
 }
 
-// brokenRuns are the requests that broke off at a server of which it is not known
-// whether it has ended.
-type brokenRuns struct {
+// unconfirmedCrash holds the requests whose connection broke at a server run that is
+// not known to have crashed.
+type unconfirmedCrash struct {
 	since time.Time
-	// ran holds when each began.
-	ran map[Fingerprint]time.Time
+	// started holds the start time of each request.
+	started map[Fingerprint]time.Time
 }
 
-// mark is something that happened to a request.
+// mark is an event of a request: it completed, or a probe of it started.
 type mark struct {
 	at         time.Time
 	count      int
 	freshUntil time.Time
 }
 
-// suspect is a request that is not clear. Only probing changes.
+// suspect is a request that is not clear. Only probing changes after its creation.
 type suspect struct {
 	Transition
-	// probeAt is when it may be probed.
+	// probeAt is the earliest time of the next probe.
 	probeAt time.Time
-	// probing is set while this instance probes it.
+	// probing is set while this instance probes the request.
 	probing *atomic.Bool
 }
 
-// New returns a tracker that knows nothing. random returns a number in [0,1), and
-// instances how many instances there are.
+// New returns an empty tracker. random returns a number in [0,1), and instances the
+// number of instances.
 func New(config Config, random func() float64, instances func() int) *Tracker {
 	t := &Tracker{
 		config: config, random: random, instances: instances,
-		ends: make(map[serverRun]*end), broken: make(map[serverRun]*brokenRuns),
-		ran: make(map[Fingerprint]ends), several: make(map[Fingerprint]ends), cleared: make(map[Fingerprint]mark), probes: make(map[Fingerprint]mark),
+		crashes: make(map[serverRun]*crashRecord), unconfirmed: make(map[serverRun]*unconfirmedCrash),
+		crashesOf: make(map[Fingerprint]crashSet), candidates: make(map[Fingerprint]crashSet), cleared: make(map[Fingerprint]mark), probes: make(map[Fingerprint]mark),
 	}
 	t.suspects.Store(&map[Fingerprint]*suspect{})
 	return t
 }
 
-// OnChange has functions called for each transition, and whenever something was learnt
-// that other instances should hear soon. It must be called before anything else.
-func (t *Tracker) OnChange(changed func(Transition), news func()) {
-	t.changed, t.news = changed, news
+// OnChange sets the functions that are called for each transition, and whenever there
+// is something new that other instances should receive soon. It must be called before
+// any other method.
+func (t *Tracker) OnChange(onTransition func(Transition), onUpdate func()) {
+	t.onTransition, t.onUpdate = onTransition, onUpdate
 }
 
-func runOf(name string) serverRun { return serverRun(xxhash.Sum64String(name)) }
+func serverRunOf(name string) serverRun { return serverRun(xxhash.Sum64String(name)) }
 
-// Broke notes that a request that was sent at began broke off at a run of a server, and
-// returns whether it should be found out if that has ended: it is the first to break off
-// there.
+// Broke records that the connection of a request, which was sent at began, broke at a
+// run of a server. It returns whether the caller should check if the server has
+// crashed, which is the case for the first request that breaks there.
 func (t *Tracker) Broke(server string, request Fingerprints, began, now time.Time) (first bool) {
-	run := runOf(server)
+	run := serverRunOf(server)
 	t.mu.Lock()
-	if t.ends[run] != nil {
-		news := t.ended(run, now, request.began(began), now.Add(t.config.FreshFor), now)
-		changes := t.judge()
+	if t.crashes[run] != nil {
+		isNew := t.addCrash(run, now, request.startTimes(began), now.Add(t.config.FreshFor), now)
+		changes := t.reevaluate()
 		t.mu.Unlock()
-		t.tell(changes, news)
+		t.notify(changes, isNew)
 		return false
 	}
 	defer t.mu.Unlock()
-	runs := t.broken[run]
-	if runs == nil || now.Sub(runs.since) > t.config.BrokenFor {
-		runs = &brokenRuns{since: now, ran: make(map[Fingerprint]time.Time)}
-		t.broken[run] = runs
+	pending := t.unconfirmed[run]
+	if pending == nil || now.Sub(pending.since) > t.config.BrokenFor {
+		pending = &unconfirmedCrash{since: now, started: make(map[Fingerprint]time.Time)}
+		t.unconfirmed[run] = pending
 		first = true
 	}
-	for _, print := range request.each() {
-		if len(runs.ran) < t.config.MostRan {
-			runs.ran[print] = began
-			t.known.Store(print, struct{}{})
+	for _, fingerprint := range request.both() {
+		if len(pending.started) < t.config.MostRan {
+			pending.started[fingerprint] = began
+			t.knownFingerprints.Store(fingerprint, struct{}{})
 		}
 	}
-	t.remembers.Store(true)
+	t.hasRecords.Store(true)
 	return first
 }
 
-// Crashed notes that a run of a server has ended, under the requests that broke off
-// there lately.
+// Crashed records that a run of a server has crashed, during the requests whose
+// connections broke there recently.
 func (t *Tracker) Crashed(server string, now time.Time) {
-	run := runOf(server)
+	run := serverRunOf(server)
 	t.mu.Lock()
-	news := t.ended(run, now, nil, now.Add(t.config.FreshFor), now)
-	changes := t.judge()
+	isNew := t.addCrash(run, now, nil, now.Add(t.config.FreshFor), now)
+	changes := t.reevaluate()
 	t.mu.Unlock()
-	t.tell(changes, news)
+	t.notify(changes, isNew)
 }
 
-// Completed notes that a server took a request to an end, and did not crash.
+// Completed records that a server finished a request without crashing.
 func (t *Tracker) Completed(request Fingerprints, now time.Time) {
-	for _, print := range request.each() {
-		if _, known := t.known.Load(print); known {
-			t.completed(print, now)
+	for _, fingerprint := range request.both() {
+		if _, known := t.knownFingerprints.Load(fingerprint); known {
+			t.completed(fingerprint, now)
 		}
 	}
 }
 
-func (t *Tracker) completed(print Fingerprint, now time.Time) {
+func (t *Tracker) completed(fingerprint Fingerprint, now time.Time) {
 	t.mu.Lock()
-	for _, runs := range t.broken {
-		delete(runs.ran, print)
+	for _, pending := range t.unconfirmed {
+		delete(pending.started, fingerprint)
 	}
-	news := t.clear(print, now, now.Add(t.config.FreshFor))
-	t.forgetUnlessKnown(print)
-	changes := t.judge()
+	isNew := t.markCleared(fingerprint, now, now.Add(t.config.FreshFor))
+	t.dropUnusedFingerprint(fingerprint)
+	changes := t.reevaluate()
 	t.mu.Unlock()
-	t.tell(changes, news)
+	t.notify(changes, isNew)
 }
 
-// Remembers says whether any server ended of late: else no request needs a
+// Remembers reports whether any crash is recorded. If none is, requests need no
 // fingerprint.
-func (t *Tracker) Remembers() bool { return t.remembers.Load() }
+func (t *Tracker) Remembers() bool { return t.hasRecords.Load() }
 
-// State returns what is known of a request.
+// State returns what is known about a request.
 func (t *Tracker) State(request Fingerprints) State {
 	if found := t.find(request); found != nil {
 		return found.State
@@ -201,7 +207,8 @@
 	return Clear
 }
 
-// find returns what speaks most against a request; nil if nothing does.
+// find returns the more severe of the entries for the two fingerprints of a request, or
+// nil if there is none.
 func (t *Tracker) find(request Fingerprints) *suspect {
 	suspects := *t.suspects.Load()
 	one, all := suspects[request.OfCaller], suspects[request.Content]
@@ -211,16 +218,16 @@
 	return one
 }
 
-// MayRepeat says whether a request that broke off may be sent once more within the same
-// attempt. Runs count that broke off at servers of which it is not yet known whether
-// they have ended.
+// MayRepeat reports whether a request whose connection broke may be sent again within
+// the same attempt. Executions on servers that are not yet known to have crashed count
+// as well.
 func (t *Tracker) MayRepeat(request Fingerprints) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, print := range request.each() {
-		crashes := len(t.ran[print])
-		for _, runs := range t.broken {
-			if _, broke := runs.ran[print]; broke {
+	for _, fingerprint := range request.both() {
+		crashes := len(t.crashesOf[fingerprint])
+		for _, pending := range t.unconfirmed {
+			if _, found := pending.started[fingerprint]; found {
 				crashes++
 			}
 		}
@@ -231,7 +238,7 @@
 	return true
 }
 
-// Count counts the requests in a state other than clear.
+// Count returns the number of requests in a state other than Clear.
 func (t *Tracker) Count(state State) int {
 	count := 0
 	for _, found := range *t.suspects.Load() {
@@ -242,63 +249,63 @@
 	return count
 }
 
-// Tick forgets what is too old.
+// Tick drops expired records.
 func (t *Tracker) Tick(now time.Time) {
-	if !t.remembers.Load() {
+	if !t.hasRecords.Load() {
 		return
 	}
 	t.mu.Lock()
-	t.dropBroken(now)
-	for server, one := range t.ends {
-		if now.Sub(one.at) >= t.config.Memory {
-			t.forget(server)
+	t.dropUnconfirmed(now)
+	for server, crash := range t.crashes {
+		if now.Sub(crash.at) >= t.config.Memory {
+			t.dropCrash(server)
 		}
 	}
 	for _, marks := range []map[Fingerprint]mark{t.cleared, t.probes} {
 		maps.DeleteFunc(marks, func(_ Fingerprint, one mark) bool { return now.Sub(one.at) >= t.config.Memory })
 	}
-	changes := t.judge()
-	t.remembers.Store(len(t.ends)+len(t.broken) > 0)
+	changes := t.reevaluate()
+	t.hasRecords.Store(len(t.crashes)+len(t.unconfirmed) > 0)
 	t.mu.Unlock()
-	t.tell(changes, false)
+	t.notify(changes, false)
 }
 
-// dropBroken forgets the runs that broke off at servers which have not ended. The caller
+// dropUnconfirmed drops unconfirmed crashes that were not confirmed in time. The caller
 // holds the lock.
-func (t *Tracker) dropBroken(now time.Time) {
-	for server, runs := range t.broken {
-		if now.Sub(runs.since) <= t.config.BrokenFor {
+func (t *Tracker) dropUnconfirmed(now time.Time) {
+	for server, pending := range t.unconfirmed {
+		if now.Sub(pending.since) <= t.config.BrokenFor {
 			continue
 		}
-		delete(t.broken, server)
-		for request := range runs.ran {
-			t.forgetUnlessKnown(request)
+		delete(t.unconfirmed, server)
+		for request := range pending.started {
+			t.dropUnusedFingerprint(request)
 		}
 	}
 }
 
-// forgetUnlessKnown drops the fingerprint of a request that no longer ran at any server
-// when that ended, or broke off there. The caller holds the lock.
-func (t *Tracker) forgetUnlessKnown(request Fingerprint) {
-	if t.ran[request] != nil {
+// dropUnusedFingerprint drops the fingerprint of a request that belongs to no crash any
+// more, confirmed or not. The caller holds the lock.
+func (t *Tracker) dropUnusedFingerprint(request Fingerprint) {
+	if t.crashesOf[request] != nil {
 		return
 	}
-	for _, runs := range t.broken {
-		if _, broke := runs.ran[request]; broke {
+	for _, pending := range t.unconfirmed {
+		if _, found := pending.started[request]; found {
 			return
 		}
 	}
-	t.known.Delete(request)
+	t.knownFingerprints.Delete(request)
 }
 
-// tell passes transitions on, and that there is something to tell.
-func (t *Tracker) tell(changes []Transition, news bool) {
-	if t.changed != nil {
+// notify calls the functions set by OnChange.
+func (t *Tracker) notify(changes []Transition, isNew bool) {
+	if t.onTransition != nil {
 		for _, change := range changes {
-			t.changed(change)
+			t.onTransition(change)
 		}
 	}
-	if news && t.news != nil {
-		t.news()
+	if isNew && t.onUpdate != nil {
+		t.onUpdate()
 	}
 }
--- a/poison/tracker_test.go
+++ b/poison/tracker_test.go
@@ -14,57 +14,57 @@
 // start is an arbitrary time.
 var start = time.Unix(1_000_000, 0)
 
-// alone returns a tracker of an instance without siblings.
-func alone() *Tracker {
+// newTestTracker returns a tracker of an instance without siblings.
+func newTestTracker() *Tracker {
 	return New(DefaultConfig(), rand.New(rand.NewPCG(1, 2)).Float64, func() int { return 1 })
 }
 
-// apart is longer than ends that count as one lie apart.
-const apart = time.Second
+// crashInterval is the time between crashes that count separately.
+const crashInterval = time.Second
 
-// request returns the fingerprints of a request, one of a number of a caller's.
+// request returns the fingerprints of a numbered request of one caller.
 func request(number int) Fingerprints { return requestOf(number, 0) }
 
-// requestOf returns the fingerprints of a request of one of several callers.
+// requestOf returns the fingerprints of a numbered request of one of several callers.
 func requestOf(number, caller int) Fingerprints {
 	return Identity{Caller: fmt.Sprint(caller), Target: fmt.Sprint(number)}.Fingerprints()
 }
 
-// ranFor is how long a request runs before its server ends.
-const ranFor = 50 * time.Millisecond
+// executionTime is how long a request runs before its server crashes.
+const executionTime = 50 * time.Millisecond
 
-// crash has a server end under requests.
+// crash has a server crash during requests.
 func crash(t *Tracker, server string, now time.Time, requests ...Fingerprints) {
 	for _, request := range requests {
-		t.Broke(server, request, now.Add(-ranFor), now)
+		t.Broke(server, request, now.Add(-executionTime), now)
 	}
 	t.Crashed(server, now)
 }
 
-func TestThreeServersEndUnderARequestThatIsToBlame(t *testing.T) {
-	tracker := alone()
+func TestRequestIsBlockedAfterThreeCrashes(t *testing.T) {
+	tracker := newTestTracker()
 	for i, want := range []State{Clear, Suspect, Blocked} {
-		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*apart), request(7), request(100+i))
+		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*crashInterval), request(7), request(100+i))
 		if got := tracker.State(request(7)); got != want {
-			t.Errorf("after %d ends: %s", i+1, got)
+			t.Errorf("after %d crashes the request is %s", i+1, got)
 		}
 		if got := tracker.State(request(100 + i)); got != Clear {
-			t.Errorf("a request that ran beside it once is %s", got)
+			t.Errorf("a request that ran beside it once is %s, want clear", got)
 		}
 	}
 	if got := tracker.Admit(request(7), start); got.Decision != Refuse {
-		t.Errorf("it is admitted: %s", got.Decision)
+		t.Errorf("blocked request: decision %s, want refuse", got.Decision)
 	}
 	if got := tracker.Admit(request(8), start); got.Decision != Run {
-		t.Errorf("another one is not: %s", got.Decision)
+		t.Errorf("another request: decision %s, want run", got.Decision)
 	}
 }
 
-func TestABrokenConnectionIsNoEnd(t *testing.T) {
-	tracker := alone()
+func TestBrokenConnectionIsNotACrash(t *testing.T) {
+	tracker := newTestTracker()
 	for i := range 5 {
 		if first := tracker.Broke(fmt.Sprint("s", i), request(7), start, start); !first {
-			t.Error("nobody is to look whether the server has ended")
+			t.Error("Broke did not ask for a check of the server")
 		}
 	}
 	tracker.Tick(start.Add(10 * time.Second))
@@ -72,32 +72,32 @@
 		tracker.Crashed(fmt.Sprint("s", i), start.Add(10*time.Second))
 	}
 	if got := tracker.State(request(7)); got != Clear || tracker.Remembers() {
-		t.Errorf("it is %s, remembered: %t", got, tracker.Remembers())
+		t.Errorf("the request is %s, Remembers() = %t", got, tracker.Remembers())
 	}
 }
 
-func TestARequestThatRanElsewhereIsCleared(t *testing.T) {
-	tracker := alone()
+func TestCompletedRequestIsCleared(t *testing.T) {
+	tracker := newTestTracker()
 	for i := range 3 {
-		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*apart), request(7))
+		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*crashInterval), request(7))
 	}
-	tracker.Completed(request(7), start.Add(5*apart))
+	tracker.Completed(request(7), start.Add(5*crashInterval))
 	if got := tracker.State(request(7)); got != Clear {
-		t.Errorf("it is %s", got)
+		t.Errorf("the request is %s, want clear", got)
 	}
-	// What others tell of before does not count either.
-	tracker.Merge(&Update{Ends: []End{{Server: uint64(runOf("s0")), AgeMillis: 6000, Ran: []Ran{{Request: request(7).OfCaller}, {Request: request(7).Content}}}}}, true, start.Add(6*apart))
-	crash(tracker, "s3", start.Add(7*apart), request(7))
-	crash(tracker, "s4", start.Add(8*apart), request(7))
+	// Reports from others of an earlier crash do not count either.
+	tracker.Merge(&Update{Ends: []End{{Server: uint64(serverRunOf("s0")), AgeMillis: 6000, Ran: []Ran{{Request: request(7).OfCaller}, {Request: request(7).Content}}}}}, true, start.Add(6*crashInterval))
+	crash(tracker, "s3", start.Add(7*crashInterval), request(7))
+	crash(tracker, "s4", start.Add(8*crashInterval), request(7))
 	if got := tracker.State(request(7)); got != Suspect {
-		t.Errorf("after two more ends it is %s", got)
+		t.Errorf("after two more crashes the request is %s, want suspect", got)
 	}
 }
 
-// A run that broke off is done again at once, and that may be over before it is known
-// that the first server has ended.
-func TestARequestThatRanElsewhereBeforeTheEndWasKnownIsClear(t *testing.T) {
-	tracker := alone()
+// A request whose connection broke is retried at once, and may complete elsewhere
+// before it is known that the first server has crashed.
+func TestRequestCompletedBeforeCrashIsConfirmedIsClear(t *testing.T) {
+	tracker := newTestTracker()
 	for i := range 3 {
 		at := start.Add(time.Duration(i) * time.Second)
 		server := fmt.Sprint("s", i)
@@ -107,37 +107,37 @@
 		tracker.Crashed(server, at.Add(300*time.Millisecond))
 	}
 	if got := tracker.State(request(7)); got != Clear {
-		t.Errorf("one that ran elsewhere is %s", got)
+		t.Errorf("the request that completed elsewhere is %s, want clear", got)
 	}
 	if got := tracker.State(request(8)); got != Blocked {
-		t.Errorf("one that did not is %s", got)
+		t.Errorf("the request that did not complete is %s, want blocked", got)
 	}
 }
 
-func TestRequestsThatAlwaysRanTogetherAreProbed(t *testing.T) {
-	tracker := alone()
+func TestTiedRequestsAreProbed(t *testing.T) {
+	tracker := newTestTracker()
 	for i := range 3 {
-		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*apart), request(7), request(8))
+		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*crashInterval), request(7), request(8))
 	}
 	now := start.Add(5 * time.Second)
 	for _, number := range []int{7, 8} {
 		probe, again := tracker.Admit(request(number), now), tracker.Admit(request(number), now)
 		if probe.Decision != Probe || again.Decision != Wait {
-			t.Errorf("%d: %s, again: %s", number, probe.Decision, again.Decision)
+			t.Errorf("request %d: first decision %s, second decision %s, want probe and wait", number, probe.Decision, again.Decision)
 		}
 		probe.Release()
 	}
 	crash(tracker, "s3", now, request(7))
 	tracker.Completed(request(8), now)
 	if tracker.State(request(7)) != Blocked || tracker.State(request(8)) != Clear {
-		t.Errorf("the cause is %s, the other one %s", tracker.State(request(7)), tracker.State(request(8)))
+		t.Errorf("the cause is %s and the other request %s, want blocked and clear", tracker.State(request(7)), tracker.State(request(8)))
 	}
 }
 
-func TestABlockedRequestIsProbedSeldom(t *testing.T) {
-	tracker := alone()
+func TestBlockedRequestIsProbedWithBackoff(t *testing.T) {
+	tracker := newTestTracker()
 	for i := range 3 {
-		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*apart), request(7))
+		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*crashInterval), request(7))
 	}
 	var probes []time.Duration
 	for now := start; now.Before(start.Add(time.Hour)); now = now.Add(250 * time.Millisecond) {
@@ -150,44 +150,44 @@
 	}
 	want := []time.Duration{12 * time.Second, 72 * time.Second}
 	if len(probes) < 2 || !slices.Equal(probes[:2], want) {
-		t.Errorf("probed at %v", probes)
+		t.Errorf("unexpected first probes: probed at %v", probes)
 	}
 	if len(probes) > 8 {
 		t.Errorf("%d probes in an hour: %v", len(probes), probes)
 	}
-	// A mended server serves it again.
+	// A fixed server serves the request again.
 	now := start.Add(2 * time.Hour)
 	admission := tracker.Admit(request(7), now)
 	tracker.Completed(request(7), now)
 	admission.Release()
 	if got := tracker.State(request(7)); admission.Decision != Probe || got != Clear {
-		t.Errorf("two hours later it is %s, then %s", admission.Decision, got)
+		t.Errorf("two hours later: decision %s, state after completion %s", admission.Decision, got)
 	}
 }
 
-// Instances learn what others saw, and know the same whatever the order and however
-// often they hear it.
-func TestInstancesComeToKnowTheSame(t *testing.T) {
+// Instances learn from each other, and reach the same state whatever the order of
+// updates and however often they receive them.
+func TestInstancesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		trackers := []*Tracker{alone(), alone(), alone()}
+		trackers := []*Tracker{newTestTracker(), newTestTracker(), newTestTracker()}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now := start.Add(time.Duration(step) * 100 * time.Millisecond)
 			at := trackers[rapid.IntRange(0, 2).Draw(t, "instance")]
 			server := fmt.Sprint("s", rapid.IntRange(0, 8).Draw(t, "server"))
 			request := requestOf(rapid.IntRange(1, 5).Draw(t, "request"), rapid.IntRange(0, 1).Draw(t, "caller"))
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				at.Completed(request, now)
 			default:
 				crash(at, server, now, request)
 			}
-			if rapid.Bool().Draw(t, "told") {
+			if rapid.Bool().Draw(t, "exchange") {
 				exchange(t, trackers, now)
 			}
 		}
 		end := start.Add(4500 * time.Millisecond)
 		for range 40 {
-			// Updates are told and lost until nobody has more to tell.
+			// Updates are exchanged until no instance has anything left to send.
 			end = end.Add(time.Second)
 			exchange(t, trackers, end)
 		}
@@ -195,14 +195,14 @@
 			for _, other := range trackers[1:] {
 				one := requestOf(number/2+1, number%2)
 				if got, want := other.State(one), trackers[0].State(one); got != want {
-					t.Errorf("%d is %s at one, %s at another", number, want, got)
+					t.Errorf("request %d is %s at one instance and %s at another", number, want, got)
 				}
 			}
 		}
 	})
 }
 
-// exchange has each tell all others what it has to tell, through the wire's form.
+// exchange has each tracker send its update to all others, in its encoded form.
 func exchange(t interface{ Fatal(...any) }, trackers []*Tracker, now time.Time) {
 	for i, from := range trackers {
 		update := from.Update(now)
@@ -227,7 +227,7 @@
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	tracker := alone()
+	tracker := newTestTracker()
 	config := DefaultConfig()
 	for i := range 3000 {
 		now := start.Add(time.Duration(i) * time.Millisecond)
@@ -243,86 +243,87 @@
 					ran += len(end.Ran)
 				}
 				if encoded, err := cbor.Marshal(update); err != nil || len(encoded) > 1400 || ran > config.UpdateRan {
-					t.Errorf("an update has %d bytes, %d requests: %v", len(encoded), ran, err)
+					t.Errorf("an update has %d bytes and %d requests, error %v", len(encoded), ran, err)
 				}
 			}
 		}
 	}
-	if len(tracker.ends) > config.MostEnds || len(tracker.ran) > config.MostEnds*config.MostRan {
-		t.Errorf("%d ends, %d requests", len(tracker.ends), len(tracker.ran))
+	if len(tracker.crashes) > config.MostEnds || len(tracker.crashesOf) > config.MostEnds*config.MostRan {
+		t.Errorf("%d crashes, %d requests", len(tracker.crashes), len(tracker.crashesOf))
 	}
 	known := 0
-	tracker.known.Range(func(any, any) bool { known++; return true })
-	if known != len(tracker.ran) {
-		t.Errorf("%d fingerprints for %d requests", known, len(tracker.ran))
+	tracker.knownFingerprints.Range(func(any, any) bool { known++; return true })
+	if known != len(tracker.crashesOf) {
+		t.Errorf("%d fingerprints for %d requests", known, len(tracker.crashesOf))
 	}
 }
 
-func TestUpdatesFromTheFutureOrThePastAreDropped(t *testing.T) {
-	tracker := alone()
+func TestUpdatesWithInvalidAgeAreDropped(t *testing.T) {
+	tracker := newTestTracker()
 	for i, age := range []int64{-1, -1 << 40, DefaultConfig().Memory.Milliseconds(), 1 << 60} {
 		tracker.Merge(&Update{
 			Ends:    []End{{Server: uint64(i), AgeMillis: age, Ran: []Ran{{Request: 7}}}},
 			Cleared: []Mark{{Request: 7, AgeMillis: age}}, Probes: []Mark{{Request: 7, AgeMillis: age, Count: 1}},
 		}, true, start)
 	}
-	if len(tracker.ends)+len(tracker.cleared)+len(tracker.probes) > 0 {
-		t.Errorf("%d ends, %d cleared, %d probes", len(tracker.ends), len(tracker.cleared), len(tracker.probes))
+	if len(tracker.crashes)+len(tracker.cleared)+len(tracker.probes) > 0 {
+		t.Errorf("%d crashes, %d clear marks, %d probe marks", len(tracker.crashes), len(tracker.cleared), len(tracker.probes))
 	}
 }
 
-// A caller may come from any address, and what its request does come of its content.
-func TestARequestIsKnownByItsContentToo(t *testing.T) {
-	tracker := alone()
+// A caller may use any address, and what its request does may depend on the content
+// alone.
+func TestRequestIsIdentifiedByContent(t *testing.T) {
+	tracker := newTestTracker()
 	for i := range 3 {
-		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*apart), requestOf(7, i), requestOf(8, i))
-		tracker.Completed(requestOf(8, 100), start.Add(time.Duration(i)*apart+10*time.Millisecond))
+		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*crashInterval), requestOf(7, i), requestOf(8, i))
+		tracker.Completed(requestOf(8, 100), start.Add(time.Duration(i)*crashInterval+10*time.Millisecond))
 	}
 	if got := tracker.State(requestOf(7, 99)); got != Blocked {
-		t.Errorf("from another address it is %s", got)
+		t.Errorf("from another address the request is %s, want blocked", got)
 	}
 	if got := tracker.State(requestOf(8, 99)); got != Clear {
-		t.Errorf("one that others are served is %s", got)
+		t.Errorf("a request that completes for other callers is %s, want clear", got)
 	}
 }
 
-// What crashes servers may come of who sends it.
-func TestTheSameContentIsServedToOthers(t *testing.T) {
-	tracker := alone()
+// Whether a request crashes servers may depend on the caller.
+func TestSameContentIsServedToOtherCallers(t *testing.T) {
+	tracker := newTestTracker()
 	for i := range 3 {
-		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*apart), requestOf(7, 1))
-		tracker.Completed(requestOf(7, 2), start.Add(time.Duration(i)*apart+10*time.Millisecond))
+		crash(tracker, fmt.Sprint("s", i), start.Add(time.Duration(i)*crashInterval), requestOf(7, 1))
+		tracker.Completed(requestOf(7, 2), start.Add(time.Duration(i)*crashInterval+10*time.Millisecond))
 	}
 	if got := tracker.State(requestOf(7, 1)); got != Blocked {
-		t.Errorf("the caller's is %s", got)
+		t.Errorf("the request of the first caller is %s, want blocked", got)
 	}
 	if got := tracker.State(requestOf(7, 2)); got != Clear {
-		t.Errorf("another caller's is %s", got)
+		t.Errorf("the request of the second caller is %s, want clear", got)
 	}
 }
 
-// A rack goes, with runs of the same call on each of its servers.
-func TestServersThatEndBesideEachOtherCountAsOne(t *testing.T) {
-	tracker := alone()
+// A rack fails while the same content is being executed on each of its servers.
+func TestConcurrentCrashesCountOnce(t *testing.T) {
+	tracker := newTestTracker()
 	for i := range 12 {
 		server, now := fmt.Sprint("s", i), start.Add(time.Duration(i)*10*time.Millisecond)
 		tracker.Broke(server, requestOf(7, i), start.Add(-time.Second), now)
 		tracker.Crashed(server, now)
 	}
 	if got := tracker.State(requestOf(7, 0)); got != Clear {
-		t.Errorf("it is %s", got)
+		t.Errorf("the request is %s, want clear", got)
 	}
 }
 
 func BenchmarkBlame(b *testing.B) {
-	ran := make(map[Fingerprint]ends)
+	ran := make(map[Fingerprint]crashSet)
 	random := rand.New(rand.NewPCG(1, 2))
-	for i := range 2 * mostBlamed {
-		ran[Fingerprint(2*i)] = make(ends)
+	for i := range 2 * maxCandidates {
+		ran[Fingerprint(2*i)] = make(crashSet)
 		for range 20 {
 			server := random.IntN(DefaultConfig().MostEnds)
 			at := start.Add(time.Duration(server) * time.Second)
-			ran[Fingerprint(2*i)][serverRun(server)] = run{began: at, ended: at}
+			ran[Fingerprint(2*i)][serverRun(server)] = execution{started: at, crashed: at}
 		}
 	}
 	for b.Loop() {
