--- a/table/column.go
+++ b/table/column.go
@@ -15,16 +15,16 @@
 	Pool    Kind = "pool"
 	Backend Kind = "backend"
 	Team    Kind = "team"
-	// Route says which requests go to which services, by host and path.
+	// Route maps requests to services by host and path prefix.
 	Route Kind = "route"
-	// Limit bounds what callers may send.
+	// Limit holds limits on callers' HTTP requests and connections.
 	Limit Kind = "limit"
 )
 
-// Kinds lists the kinds in the order in which tables are shown.
+// Kinds lists the kinds in display order.
 var Kinds = []Kind{Service, Pool, Backend, Team, Route, Limit}
 
-// Column names a column. Its meaning depends on the row's kind.
+// Column is the name of a column. Its meaning depends on the row's kind.
 type Column string
 
 const (
@@ -48,7 +48,7 @@
 	ColWeights      Column = "weights"
 	ColHost         Column = "host"
 	ColPath         Column = "path"
-	// ColSplit lists services with their shares, "a:90,b:10".
+	// ColSplit lists services with their traffic weights, as in "a:90,b:10".
 	ColSplit       Column = "split"
 	ColRepeat      Column = "repeat"
 	ColTimeout     Column = "timeout_ms"
@@ -64,22 +64,23 @@
 	ColHeaderBytes Column = "header_bytes"
 	ColBodyBytes   Column = "body_bytes"
 	ColIdle        Column = "idle_ms"
-	// ColMoves says whether engines hand running streams to each other.
+	// ColMoves is "true" if engines can move running streams to each other.
 	ColMoves Column = "moves"
-	// ColColdRate is how many requests a second a server of the service bears that has just
-	// started, from all instances together; empty means no bound.
+	// ColColdRate limits the requests per second that all instances together send to a
+	// server of the service that has just started. Empty means no limit.
 	ColColdRate Column = "cold_per_s"
-	// ColKeys lists the digests of a team's keys, or is KeysNone.
+	// ColKeys lists the digests of a team's API keys, or is KeysNone.
 	ColKeys   Column = "keys"
 	ColPublic Column = "public"
-	// ColRegions lists the regions that may serve, "a,b"; empty means all.
+	// ColRegions lists the regions that may serve the requests, as in "a,b". Empty means all.
 	ColRegions Column = "regions"
-	// ColUnit is what a team's allotment counts.
+	// ColUnit is the unit of a team's allotment: UnitRequests or UnitTokens.
 	ColUnit Column = "unit"
-	// ColRate is the allotment a second, ColBurst what may come at once beside it.
+	// ColRate is the refill rate of a team's token bucket, in units per second. ColBurst
+	// is the number of units that the team may use at once on top of the rate.
 	ColRate  Column = "rate"
 	ColBurst Column = "burst"
-	// ColPlainTokens is what a request counts that names no tokens.
+	// ColPlainTokens is the cost in tokens of a request that states no token count.
 	ColPlainTokens Column = "plain_tokens"
 )
 
@@ -89,13 +90,13 @@
 	UnitTokens   = "tokens"
 )
 
-// What may be repeated on a route.
+// Retry policies of a route.
 const (
 	// RepeatSafe: requests may run more than once.
 	RepeatSafe = "safe"
 	// RepeatNever: requests run at most once.
 	RepeatNever = "never"
-	// RepeatResume: streams may go on at another server after a break.
+	// RepeatResume: a broken stream may be resumed on another server.
 	RepeatResume = "resume"
 )
 
@@ -112,90 +113,90 @@
 	RolePlain   = "plain"
 )
 
-// check reports what is wrong with a cell's value.
-type check func(value string) error
+// cellCheck returns an error that describes why a cell's value is invalid.
+type cellCheck func(value string) error
 
-// spec describes one column of one kind of row.
-type spec struct {
+// columnSpec describes one column of one kind of row.
+type columnSpec struct {
 	column   Column
 	required bool
-	check    check
-	// refers is the kind of row that the value must name.
+	check    cellCheck
+	// refers is the kind of the row that the value must name, or empty.
 	refers Kind
-	// later is set for columns that came after the first tables were hashed:
-	// empty, they leave a table's hash as it was.
-	later bool
+	// omitEmptyInHash is set for columns that were added after tables had been hashed
+	// without them. Their empty cells are left out, so that those hashes do not change.
+	omitEmptyInHash bool
 }
 
-// columns holds the columns of each kind, in the order in which they are shown.
-var columns = map[Kind][]spec{
+// columns holds the columns of each kind in display order.
+var columns = map[Kind][]columnSpec{
 	Service: {
 		{column: ColType, required: true, check: oneOf(TypeModel, TypePlain)},
-		{column: ColModel, check: anyText},
-		{column: ColPrefillPool, check: anyText, refers: Pool},
-		{column: ColDecodePool, check: anyText, refers: Pool},
-		{column: ColPool, check: anyText, refers: Pool},
-		{column: ColTTFT, check: intIn(1, 600_000)},
-		{column: ColTBT, check: intIn(1, 60_000)},
-		{column: ColPriority, check: intIn(0, 9)},
-		{column: ColInFlight, check: intIn(0, 10_000_000)},
-		{column: ColRetryPercent, check: intIn(0, 100)},
-		{column: ColConnections, check: intIn(0, 10_000_000), later: true},
-		{column: ColHealth, check: anyText, later: true},
-		{column: ColMemory, check: intIn(0, 1_000_000_000), later: true},
-		{column: ColTokenBytes, check: intIn(0, 1_000_000_000), later: true},
-		{column: ColHold, check: intIn(0, 600_000), later: true},
-		{column: ColHandle, check: intIn(0, 600_000), later: true},
-		{column: ColSwitch, check: intIn(0, 600_000), later: true},
-		{column: ColStride, check: intIn(0, 100_000), later: true},
-		{column: ColMoves, check: oneOf("true", "false"), later: true},
-		{column: ColColdRate, check: decimalTo(1_000_000_000), later: true},
+		{column: ColModel, check: nonEmpty},
+		{column: ColPrefillPool, check: nonEmpty, refers: Pool},
+		{column: ColDecodePool, check: nonEmpty, refers: Pool},
+		{column: ColPool, check: nonEmpty, refers: Pool},
+		{column: ColTTFT, check: intBetween(1, 600_000)},
+		{column: ColTBT, check: intBetween(1, 60_000)},
+		{column: ColPriority, check: intBetween(0, 9)},
+		{column: ColInFlight, check: intBetween(0, 10_000_000)},
+		{column: ColRetryPercent, check: intBetween(0, 100)},
+		{column: ColConnections, check: intBetween(0, 10_000_000), omitEmptyInHash: true},
+		{column: ColHealth, check: nonEmpty, omitEmptyInHash: true},
+		{column: ColMemory, check: intBetween(0, 1_000_000_000), omitEmptyInHash: true},
+		{column: ColTokenBytes, check: intBetween(0, 1_000_000_000), omitEmptyInHash: true},
+		{column: ColHold, check: intBetween(0, 600_000), omitEmptyInHash: true},
+		{column: ColHandle, check: intBetween(0, 600_000), omitEmptyInHash: true},
+		{column: ColSwitch, check: intBetween(0, 600_000), omitEmptyInHash: true},
+		{column: ColStride, check: intBetween(0, 100_000), omitEmptyInHash: true},
+		{column: ColMoves, check: oneOf("true", "false"), omitEmptyInHash: true},
+		{column: ColColdRate, check: decimalUpTo(1_000_000_000), omitEmptyInHash: true},
 	},
 	Pool: {
 		{column: ColRole, required: true, check: oneOf(RolePrefill, RoleDecode, RolePlain)},
 	},
 	Backend: {
-		{column: ColPool, required: true, check: anyText, refers: Pool},
+		{column: ColPool, required: true, check: nonEmpty, refers: Pool},
 		{column: ColAddress, required: true, check: ipPort},
-		{column: ColZone, required: true, check: anyText},
-		{column: ColPieces, check: intIn(0, 1_000_000)},
-		{column: ColLink, check: intIn(1, 10_000_000)},
+		{column: ColZone, required: true, check: nonEmpty},
+		{column: ColPieces, check: intBetween(0, 1_000_000)},
+		{column: ColLink, check: intBetween(1, 10_000_000)},
 		{column: ColDrain, check: oneOf("true", "false")},
-		{column: ColWeights, check: anyText},
+		{column: ColWeights, check: nonEmpty},
 	},
 	Team: {
-		{column: ColShare, check: intIn(1, 1_000_000)},
-		{column: ColPriority, check: intIn(0, 9)},
-		{column: ColInFlight, check: intIn(0, 10_000_000)},
-		{column: ColKeys, check: keysText, later: true},
-		{column: ColUnit, check: oneOf(UnitRequests, UnitTokens), later: true},
-		{column: ColRate, check: decimalTo(1_000_000_000), later: true},
-		{column: ColBurst, check: decimalTo(1_000_000_000), later: true},
-		{column: ColPlainTokens, check: intIn(0, 1_000_000_000), later: true},
-		{column: ColRegions, check: anyText, later: true},
+		{column: ColShare, check: intBetween(1, 1_000_000)},
+		{column: ColPriority, check: intBetween(0, 9)},
+		{column: ColInFlight, check: intBetween(0, 10_000_000)},
+		{column: ColKeys, check: checkKeys, omitEmptyInHash: true},
+		{column: ColUnit, check: oneOf(UnitRequests, UnitTokens), omitEmptyInHash: true},
+		{column: ColRate, check: decimalUpTo(1_000_000_000), omitEmptyInHash: true},
+		{column: ColBurst, check: decimalUpTo(1_000_000_000), omitEmptyInHash: true},
+		{column: ColPlainTokens, check: intBetween(0, 1_000_000_000), omitEmptyInHash: true},
+		{column: ColRegions, check: nonEmpty, omitEmptyInHash: true},
 	},
 	Route: {
-		{column: ColHost, required: true, check: anyText},
-		{column: ColPath, required: true, check: anyText},
-		{column: ColSplit, required: true, check: splitText},
+		{column: ColHost, required: true, check: nonEmpty},
+		{column: ColPath, required: true, check: nonEmpty},
+		{column: ColSplit, required: true, check: checkSplit},
 		{column: ColRepeat, required: true, check: oneOf(RepeatSafe, RepeatNever, RepeatResume)},
-		{column: ColTimeout, check: intIn(1, 3_600_000)},
-		{column: ColTTFT, check: intIn(1, 600_000)},
-		{column: ColTBT, check: intIn(1, 60_000)},
-		{column: ColPriority, check: intIn(0, 9)},
-		{column: ColAttempts, check: intIn(1, 100)},
-		{column: ColPublic, check: oneOf("true", "false"), later: true},
-		{column: ColRegions, check: anyText, later: true},
+		{column: ColTimeout, check: intBetween(1, 3_600_000)},
+		{column: ColTTFT, check: intBetween(1, 600_000)},
+		{column: ColTBT, check: intBetween(1, 60_000)},
+		{column: ColPriority, check: intBetween(0, 9)},
+		{column: ColAttempts, check: intBetween(1, 100)},
+		{column: ColPublic, check: oneOf("true", "false"), omitEmptyInHash: true},
+		{column: ColRegions, check: nonEmpty, omitEmptyInHash: true},
 	},
 	Limit: {
-		{column: ColHeaderBytes, check: intIn(1, 1<<30)},
-		{column: ColBodyBytes, check: intIn(1, 1<<30)},
-		{column: ColTimeout, check: intIn(1, 3_600_000)},
-		{column: ColIdle, check: intIn(1, 3_600_000)},
+		{column: ColHeaderBytes, check: intBetween(1, 1<<30)},
+		{column: ColBodyBytes, check: intBetween(1, 1<<30)},
+		{column: ColTimeout, check: intBetween(1, 3_600_000)},
+		{column: ColIdle, check: intBetween(1, 3_600_000)},
 	},
 }
 
-// Columns returns the columns of a kind in the order in which they are shown.
+// Columns returns the columns of a kind in display order.
 func Columns(kind Kind) []Column {
 	names := make([]Column, 0, len(columns[kind]))
 	for _, s := range columns[kind] {
@@ -204,16 +205,16 @@
 	return names
 }
 
-func findSpec(kind Kind, column Column) (spec, bool) {
+func findSpec(kind Kind, column Column) (columnSpec, bool) {
 	for _, s := range columns[kind] {
 		if s.column == column {
 			return s, true
 		}
 	}
-	return spec{}, false
+	return columnSpec{}, false
 }
 
-func oneOf(allowed ...string) check {
+func oneOf(allowed ...string) cellCheck {
 	return func(value string) error {
 		for _, a := range allowed {
 			if value == a {
@@ -224,7 +225,7 @@
 	}
 }
 
-func intIn(low, high int) check {
+func intBetween(low, high int) cellCheck {
 	return func(value string) error {
 		n, err := strconv.Atoi(value)
 		if err != nil {
@@ -237,8 +238,8 @@
 	}
 }
 
-// decimalTo accepts a number from 0 to a bound.
-func decimalTo(high float64) check {
+// decimalUpTo accepts a number from 0 to high.
+func decimalUpTo(high float64) cellCheck {
 	return func(value string) error {
 		n, err := strconv.ParseFloat(value, 64)
 		if err != nil {
@@ -251,12 +252,12 @@
 	}
 }
 
-func splitText(value string) error {
+func checkSplit(value string) error {
 	_, err := ParseSplit(value)
 	return err
 }
 
-func anyText(value string) error {
+func nonEmpty(value string) error {
 	if value == "" {
 		return errors.New("is empty")
 	}
--- a/table/edit.go
+++ b/table/edit.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// Change sets one cell, empties it (Value == ""), or removes a whole row.
+// Change sets one cell, clears it (Value == ""), or removes a whole row.
 type Change struct {
 	Row       RowKey `json:"row"`
 	Column    Column `json:"column,omitempty"`
@@ -14,20 +14,20 @@
 	RemoveRow bool   `json:"remove_row,omitempty"`
 }
 
-// Edit is one operator's change to the table, as it stands on the log.
+// Edit is an operator's change to the table, as recorded in the log.
 type Edit struct {
-	// ID is chosen by the operator's client, so that an edit whose append
-	// reply was lost can be found again and is never applied twice.
+	// ID is chosen by the operator's client, so that an edit can be found when
+	// the reply to its append was lost, and is never applied twice.
 	ID string `json:"id"`
-	// Base is the revision that the operator looked at.
+	// Base is the table revision that the edit was made against.
 	Base    uint64   `json:"base"`
 	Author  string   `json:"author"`
 	Reason  string   `json:"reason"`
 	Changes []Change `json:"changes"`
 }
 
-// CellError says what is wrong with one cell. Column is empty when the
-// fault is with the whole row.
+// CellError describes an invalid cell. Column is empty when the error
+// concerns the whole row.
 type CellError struct {
 	Row    RowKey
 	Column Column
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("row %s, column %s: %v", e.Row, e.Column, e.Cause)
 }
 
-// ConflictError says that a row changed after the edit's base revision.
+// ConflictError reports that a row changed after the edit's base revision.
 type ConflictError struct {
 	Row      RowKey
 	Base     uint64
@@ -54,13 +54,13 @@
 	return fmt.Sprintf("row %s: changed at revision %d, after the edit's base %d", e.Row, e.Revision, e.Base)
 }
 
-// errEmptyEdit is the verdict on an edit that lacks what every edit needs.
+// errEmptyEdit rejects an edit that lacks a required field.
 var errEmptyEdit = errors.New("an edit needs an id, an author and at least one change")
 
-// Apply returns the table that follows t when edit is accepted at the given
-// log offset, or the reason why it is refused: a *ConflictError, a *CellError
-// or another error. It looks at nothing but its arguments, so that every
-// instance reaches the same verdict.
+// Apply returns t with edit applied at the given log offset, or the reason for
+// which the edit is rejected: a *ConflictError, a *CellError or another error.
+// The result depends only on t and the arguments, so that every instance reaches
+// the same verdict.
 func (t *Table) Apply(edit Edit, offset uint64) (*Table, error) {
 	if edit.ID == "" || edit.Author == "" || len(edit.Changes) == 0 {
 		return nil, errEmptyEdit
@@ -70,7 +70,7 @@
 			return nil, err
 		}
 	}
-	next := t.with(edit.Changes, offset)
+	next := t.withChanges(edit.Changes, offset)
 	if err := next.Check(); err != nil {
 		return nil, err
 	}
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// Check reports the first fault of the whole table: an unknown kind or
-// column, a bad value, a missing cell, or a name that no row has.
+// Check returns the first error found in the table: an unknown kind or column,
+// an invalid value, a missing cell, or a reference to a row that does not exist.
 func (t *Table) Check() error {
 	for key := range t.rows {
 		if _, ok := columns[key.Kind]; !ok {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-func (t *Table) checkCell(key RowKey, s spec, value string) error {
+func (t *Table) checkCell(key RowKey, s columnSpec, value string) error {
 	if value == "" && s.required {
 		return &CellError{Row: key, Column: s.column, Cause: errors.New("is missing")}
 	}
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// checkService demands the pools that a service of its type needs.
+// checkService checks that a service has the cells that its type requires.
 func (t *Table) checkService(key RowKey, cells map[Column]string) error {
 	needed := []Column{ColModel, ColPrefillPool, ColDecodePool}
 	if cells[ColType] == TypePlain {
--- a/table/editid.go
+++ b/table/editid.go
@@ -2,5 +2,5 @@
 
 import "github.com/google/uuid"
 
-// NewEditID makes an id for an edit that no other edit has.
+// NewEditID returns a unique edit id.
 func NewEditID() string { return uuid.NewString() }
--- a/table/fold.go
+++ b/table/fold.go
@@ -8,79 +8,80 @@
 	"github.com/mastwheel/mastwheel/lease"
 )
 
-// Verdict is what the fold decided about one edit.
+// Verdict is the fold's decision about one edit.
 type Verdict struct {
 	EditID string `json:"edit_id"`
-	// Offset is the record's place on the log.
+	// Offset is the log offset of the edit's record.
 	Offset   uint64 `json:"offset"`
 	Accepted bool   `json:"accepted"`
-	// Why explains a refusal.
+	// Why is the reason for which the edit was rejected.
 	Why    string `json:"why,omitempty"`
 	Author string `json:"author,omitempty"`
 	Reason string `json:"reason,omitempty"`
-	// Changes is what the edit asked for, and Undo what would take an accepted
-	// one back.
+	// Changes holds the changes of the edit. Undo holds the changes that would
+	// revert it, if it was accepted.
 	Changes []Change `json:"changes,omitempty"`
 	Undo    []Change `json:"undo,omitempty"`
 }
 
-// keptVerdicts bounds the verdicts that a fold remembers, and with them how
-// late a duplicate append of an edit is still recognised.
-const keptVerdicts = 1024
+// maxVerdicts limits the number of verdicts that a fold keeps. A duplicate append of an
+// edit is recognised only while the edit's verdict is kept.
+const maxVerdicts = 1024
 
-// Fold turns log records, in offset order, into tables. It is not safe for
-// concurrent use; the tables that it returns are immutable.
+// Fold applies log records to a table in offset order. It is not safe for
+// concurrent use. The tables that it returns are immutable.
 type Fold struct {
 	table *Table
 	next  uint64
-	// byID finds the verdict on an edit; order remembers which is oldest.
+	// byID maps edit ids to verdicts. order lists the ids, oldest first.
 	byID  map[string]Verdict
 	order []string
-	// marked is the state at the last offset of which a snapshot is written.
-	marked *Snapshot
-	// seen is the last mark of which a good snapshot is on the log, and bad
-	// counts records that were refused as they could not be read or verified.
-	seen uint64
-	bad  int
-	// leases are the last claims that counted, by key.
+	// pending is the state at the last multiple of SnapshotEvery, of which a
+	// snapshot may be written to the log.
+	pending *Snapshot
+	// verifiedNext is the highest Next of the valid snapshots seen on the log.
+	// badRecords counts invalid records, as returned by Bad.
+	verifiedNext uint64
+	badRecords   int
+	// leases holds the state of each lease after its last valid claim, by key.
 	leases map[string]lease.State
 }
 
-// logRecord is the form of a record: an edit, or a snapshot.
+// logRecord is the JSON form of a log record: an edit, a snapshot or a lease claim.
 type logRecord struct {
 	Edit
 	Snapshot *Snapshot    `json:"snapshot,omitempty"`
 	Lease    *lease.Claim `json:"lease,omitempty"`
 }
 
-// LeaseRecord writes a claim as a record for the log.
+// LeaseRecord encodes a lease claim as a log record.
 func LeaseRecord(claim lease.Claim) ([]byte, error) {
 	record, err := json.Marshal(logRecord{Lease: &claim})
-	return record, errors.Wrap(err, "write lease record")
+	return record, errors.Wrap(err, "encode lease record")
 }
 
-// NewFold starts at the first offset of the log with the empty table.
+// NewFold returns a fold at the first log offset, with the empty table.
 func NewFold() *Fold {
 	return &Fold{table: &Table{}, next: 1, byID: make(map[string]Verdict), leases: make(map[string]lease.State)}
 }
 
-// Table returns the table after the last record.
+// Table returns the table after the last folded record.
 func (f *Fold) Table() *Table { return f.table }
 
-// Next returns the offset that the fold needs next.
+// Next returns the offset of the next record to fold.
 func (f *Fold) Next() uint64 { return f.next }
 
-// Bad counts the records that were refused as they could not be read or
-// verified.
-func (f *Fold) Bad() int { return f.bad }
+// Bad returns the number of invalid records: those that could not be decoded or
+// verified, and edits without an id.
+func (f *Fold) Bad() int { return f.badRecords }
 
-// Verdict returns what was decided about an edit, if it was seen.
+// Verdict returns the verdict on an edit, if the fold still keeps it.
 func (f *Fold) Verdict(editID string) (Verdict, bool) {
 	verdict, ok := f.byID[editID]
 	return verdict, ok
 }
 
-// History returns the last verdicts, the latest first.
+// History returns the kept verdicts, newest first.
 func (f *Fold) History() []Verdict {
 	verdicts := make([]Verdict, 0, len(f.order))
 	for i := len(f.order) - 1; i >= 0; i-- {
@@ -89,28 +90,28 @@
 	return verdicts
 }
 
-// Add folds the record at offset. An offset that was folded before changes
-// nothing; one past the next is an error, since a record would be missed. A
-// record that cannot be read is refused alike by every instance.
+// Add folds the record at offset. A record that was folded before is ignored.
+// An offset beyond Next is an error, since a record would be skipped. A record
+// that cannot be decoded is counted by Bad and skipped, on every instance alike.
 func (f *Fold) Add(offset uint64, data []byte) error {
 	if offset < f.next {
 		return nil
 	}
 	if offset > f.next {
-		return errors.Errorf("log record %d arrived where %d was expected", offset, f.next)
+		return errors.Errorf("fold log record %d: expected record %d", offset, f.next)
 	}
 	f.next = offset + 1
-	f.take(offset, data)
+	f.addRecord(offset, data)
 	if f.next%SnapshotEvery == 0 {
-		f.mark()
+		f.markSnapshot()
 	}
 	return nil
 }
 
-func (f *Fold) take(offset uint64, data []byte) {
+func (f *Fold) addRecord(offset uint64, data []byte) {
 	var record logRecord
 	if err := json.Unmarshal(data, &record); err != nil {
-		f.bad++
+		f.badRecords++
 		return
 	}
 	if record.Snapshot != nil {
@@ -118,24 +119,24 @@
 		return
 	}
 	if record.Lease != nil {
-		f.claim(offset, *record.Lease)
+		f.addClaim(offset, *record.Lease)
 		return
 	}
-	f.decide(offset, record.Edit)
+	f.addEdit(offset, record.Edit)
 }
 
-// Lease returns the state of a lease.
+// Lease returns the current state of the lease with the given key.
 func (f *Fold) Lease(key string) lease.State { return f.leases[key] }
 
-func (f *Fold) claim(offset uint64, claim lease.Claim) {
+func (f *Fold) addClaim(offset uint64, claim lease.Claim) {
 	if next, counted := f.leases[claim.Key].Follow(claim, offset); counted {
 		f.leases[claim.Key] = next
 	}
 }
 
-func (f *Fold) decide(offset uint64, edit Edit) {
+func (f *Fold) addEdit(offset uint64, edit Edit) {
 	if edit.ID == "" {
-		f.bad++
+		f.badRecords++
 		return
 	}
 	if _, seen := f.byID[edit.ID]; seen {
@@ -150,46 +151,46 @@
 		verdict.Undo = f.table.undo(edit.Changes)
 		f.table = next
 	}
-	f.remember(verdict)
+	f.storeVerdict(verdict)
 }
 
-func (f *Fold) remember(verdict Verdict) {
+func (f *Fold) storeVerdict(verdict Verdict) {
 	f.byID[verdict.EditID] = verdict
 	f.order = append(f.order, verdict.EditID)
-	if len(f.order) > keptVerdicts {
+	if len(f.order) > maxVerdicts {
 		delete(f.byID, f.order[0])
 		f.order = f.order[1:]
 	}
 }
 
-// undo returns the changes that would bring the touched cells back to what
-// they are in t.
+// undo returns the changes that restore the cells touched by changes to their
+// values in t.
 func (t *Table) undo(changes []Change) []Change {
-	var back []Change
-	done := make(map[Change]bool)
+	var undo []Change
+	added := make(map[Change]bool)
 	for _, change := range changes {
 		row, existed := t.rows[change.Row]
 		if !existed {
-			back = appendOnce(back, done, Change{Row: change.Row, RemoveRow: true})
+			undo = appendOnce(undo, added, Change{Row: change.Row, RemoveRow: true})
 			continue
 		}
 		if !change.RemoveRow {
-			back = appendOnce(back, done, Change{Row: change.Row, Column: change.Column, Value: row.Cells[change.Column]})
+			undo = appendOnce(undo, added, Change{Row: change.Row, Column: change.Column, Value: row.Cells[change.Column]})
 			continue
 		}
 		for _, column := range Columns(change.Row.Kind) {
 			if value := row.Cells[column]; value != "" {
-				back = appendOnce(back, done, Change{Row: change.Row, Column: column, Value: value})
+				undo = appendOnce(undo, added, Change{Row: change.Row, Column: column, Value: value})
 			}
 		}
 	}
-	return back
+	return undo
 }
 
-func appendOnce(changes []Change, done map[Change]bool, change Change) []Change {
-	if done[change] {
+func appendOnce(changes []Change, added map[Change]bool, change Change) []Change {
+	if added[change] {
 		return changes
 	}
-	done[change] = true
+	added[change] = true
 	return append(changes, change)
 }
--- a/table/fuzz_test.go
+++ b/table/fuzz_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// FuzzParseTOML: a table file is refused with an error, or can be compiled.
+// FuzzParseTOML checks that a table is either rejected with an error or can be compiled.
 func FuzzParseTOML(f *testing.F) {
 	f.Add([]byte("[service.a]\ntype = \"plain\"\npool = \"p\"\n[pool.p]\nrole = \"plain\"\n"))
 	f.Add([]byte("[service.\"\"]\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		parsed, err := ParseTOML(data)
 		if err == nil && parsed.Compile() == nil {
-			t.Fatal("accepted a table that makes no view")
+			t.Fatal("accepted a table that does not compile")
 		}
 	})
 }
--- a/table/keys.go
+++ b/table/keys.go
@@ -8,19 +8,20 @@
 	"github.com/pkg/errors"
 )
 
-// KeyDigest stands for the key that a caller shows for its team. Keys are secrets: the
-// table, its log and siblings hold digests only, and requests are matched by them, so
-// that the time of a comparison tells nothing of a key.
+// KeyDigest is a truncated SHA-256 of an API key that callers send to authenticate for a
+// team. Keys are secrets, so the table, its log and siblings hold only digests. Requests
+// are matched by digest, so that the timing of a comparison leaks nothing about a key.
 type KeyDigest [keyDigestBytes]byte
 
 const (
-	// keyDigestBytes is the part of a SHA-256 that is kept: 128 bits, so that among
-	// millions of keys no two share a digest by chance.
+	// keyDigestBytes is the length of a digest. 128 bits of the SHA-256 rule out chance
+	// collisions among millions of keys.
 	keyDigestBytes = 16
-	// shownBytes is the part of a digest that is shown to operators: enough to tell
-	// some thousands of keys apart.
-	shownBytes = 4
-	// KeysNone is the cell of a team that has no keys left: nobody calls for it.
+	// shortDigestBytes is the length of the digest prefix shown to operators. It
+	// distinguishes some thousands of keys.
+	shortDigestBytes = 4
+	// KeysNone is the cell value of a team without any valid key. All requests for the
+	// team are rejected.
 	KeysNone = "none"
 )
 
@@ -30,13 +31,13 @@
 	return KeyDigest(sum[:keyDigestBytes])
 }
 
-// Text returns the whole digest, as it stands in a cell.
+// Text returns the full digest in hexadecimal, as stored in a cell.
 func (d KeyDigest) Text() string { return hex.EncodeToString(d[:]) }
 
-// String returns the short form that operators are shown.
-func (d KeyDigest) String() string { return hex.EncodeToString(d[:shownBytes]) }
+// String returns the short form that is shown to operators.
+func (d KeyDigest) String() string { return hex.EncodeToString(d[:shortDigestBytes]) }
 
-// ParseDigest reads what Text has written.
+// ParseDigest parses the output of KeyDigest.Text.
 func ParseDigest(text string) (KeyDigest, error) {
 	var digest KeyDigest
 	if hex.DecodedLen(len(text)) != keyDigestBytes {
@@ -46,7 +47,7 @@
 	return digest, errors.Wrap(err, "a key's digest")
 }
 
-// FormatKeys writes a team's digests as a cell.
+// FormatKeys formats a team's digests as a cell value.
 func FormatKeys(digests []KeyDigest) string {
 	if len(digests) == 0 {
 		return KeysNone
@@ -58,7 +59,7 @@
 	return strings.Join(texts, ",")
 }
 
-// parseKeys reads what FormatKeys has written.
+// parseKeys parses the output of FormatKeys.
 func parseKeys(value string) ([]KeyDigest, error) {
 	if value == "" || value == KeysNone {
 		return nil, nil
@@ -74,33 +75,34 @@
 	return digests, nil
 }
 
-func keysText(value string) error {
+func checkKeys(value string) error {
 	_, err := parseKeys(value)
 	return err
 }
 
-// digestsOf parses a cell that Check has accepted.
-func digestsOf(value string) []KeyDigest {
+// mustParseKeys parses a cell that Check has accepted. It panics on other values.
+func mustParseKeys(value string) []KeyDigest {
 	digests, err := parseKeys(value)
 	if err != nil {
-		panic("table: compiled before it was checked: " + err.Error())
+		panic("table: Compile called on an unchecked table: " + err.Error())
 	}
 	return digests
 }
 
-// Allotment bounds what a team may ask for, over all instances.
+// Allotment is the rate limit of a team over all instances.
 type Allotment struct {
-	// Unit is UnitRequests or UnitTokens; empty is UnitRequests.
+	// Unit is UnitRequests or UnitTokens. Empty means UnitRequests.
 	Unit string
-	// Rate is what the team may use a second, and Burst what it may use at once beside
-	// that, both in units. A Rate of 0 means that there is no limit.
+	// Rate is the number of units that the team may use per second. Burst is the number
+	// of units that it may use at once on top of that. A Rate of 0 means no limit.
 	Rate  float64
 	Burst float64
-	// PlainTokens is what a request counts that names no tokens.
+	// PlainTokens is the cost in tokens of a request that states no token count.
 	PlainTokens int
 }
 
-// Cost returns what a request counts that names so many tokens, in units.
+// Cost returns the cost of a request in units. named is set if the request states a token
+// count, which is then tokens.
 func (a Allotment) Cost(tokens int, named bool) int {
 	switch {
 	case a.Unit != UnitTokens:
--- a/table/regions.go
+++ b/table/regions.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// regionSeparator stands between two regions of a cell.
+// regionSeparator separates the regions in a cell.
 const regionSeparator = ","
 
-// ParseRegions reads "a,b"; nil without any.
+// ParseRegions parses a list of regions such as "a,b". It returns nil for an empty text.
 func ParseRegions(text string) []string {
 	if text == "" {
 		return nil
@@ -13,5 +13,5 @@
 	return strings.Split(text, regionSeparator)
 }
 
-// FormatRegions writes what ParseRegions reads.
+// FormatRegions is the inverse of ParseRegions.
 func FormatRegions(regions []string) string { return strings.Join(regions, regionSeparator) }
--- a/table/routes.go
+++ b/table/routes.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Share is one service of a route with its part of the requests.
+// Share is one service of a route with its traffic weight.
 type Share struct {
 	Service string
 	Weight  int
@@ -20,41 +20,41 @@
 type RouteView struct {
 	Name string
 	Host string
-	// Path is the prefix that a request's path begins with.
+	// Path is the path prefix of the requests that the route matches.
 	Path   string
 	Split  []Share
 	Repeat string
-	// Timeout is the longest time for which a caller is kept waiting.
+	// Timeout is the longest time that a caller waits for its request.
 	Timeout time.Duration
-	// TTFT is the time to the first token, or to the whole answer of a plain
-	// call, that counts as on time; TBT bounds the pauses of a stream.
+	// TTFT is the target for the time to the first token, or to the complete
+	// response of a plain call. TBT is the target for the time between tokens.
 	TTFT time.Duration
 	TBT  time.Duration
-	// Priority is the rank; 0 is the highest.
+	// Priority ranks the requests of the route. 0 is the highest.
 	Priority int
-	// Attempts bounds the servers that one request is sent to.
+	// Attempts is the maximum number of servers that one request is sent to.
 	Attempts int
-	// Public is set if callers need no key.
+	// Public is set if callers need no API key.
 	Public bool
-	// Regions are those that may serve; empty means all.
+	// Regions lists the regions that may serve the route. Empty means all.
 	Regions []string
 }
 
-// LimitsView bounds what callers may send.
+// LimitsView holds the limits on callers' requests and connections.
 type LimitsView struct {
 	HeaderBytes int
 	BodyBytes   int
-	// HeaderTimeout bounds the arrival of a header, and Idle the time without
-	// a request.
+	// HeaderTimeout limits the time for reading a request's header. Idle limits the
+	// time that a connection stays open without a request.
 	HeaderTimeout time.Duration
 	Idle          time.Duration
 }
 
-// RowLimits is the one row of limits.
+// RowLimits is the key of the row that holds the limits.
 var RowLimits = RowKey{Kind: Limit, Name: "callers"}
 
-// Defaults for empty cells of a route and of the limits; generous, since an
-// empty cell means that the operator set no bound.
+// Defaults for empty cells of routes and limits. They are generous, since an empty
+// cell means that the operator set no limit.
 const (
 	defaultRouteTimeout  = time.Minute
 	defaultHeaderBytes   = 16 << 10
@@ -63,7 +63,7 @@
 	defaultIdle          = time.Minute
 )
 
-// New returns a checked table of the given rows, all of one revision.
+// New returns a checked table of the given rows, all at the given revision.
 func New(revision uint64, rows map[RowKey]map[Column]string) (*Table, error) {
 	t := &Table{Revision: revision, rows: make(map[RowKey]Row, len(rows))}
 	for key, cells := range rows {
@@ -75,7 +75,7 @@
 	return t, nil
 }
 
-// ParseSplit reads "a:90,b:10".
+// ParseSplit parses a list of services with weights, such as "a:90,b:10".
 func ParseSplit(text string) ([]Share, error) {
 	var shares []Share
 	for _, part := range strings.Split(text, ",") {
@@ -92,7 +92,7 @@
 	return shares, nil
 }
 
-// FormatSplit writes what ParseSplit reads.
+// FormatSplit is the inverse of ParseSplit.
 func FormatSplit(shares []Share) string {
 	parts := make([]string, 0, len(shares))
 	for _, share := range shares {
@@ -101,8 +101,8 @@
 	return strings.Join(parts, ",")
 }
 
-// Service chooses a service of the route by its shares. The same request id
-// always gets the same one.
+// Service selects a service of the route by weight. It hashes the request id, so
+// the same id always gets the same service.
 func (r *RouteView) Service(requestID string) string {
 	total := 0
 	for _, share := range r.Split {
@@ -121,8 +121,8 @@
 	return ""
 }
 
-// Route returns the route of a host with the longest path that begins the
-// request's, or nil.
+// Route returns the route of the host with the longest path prefix that matches
+// the path, or nil.
 func (v *View) Route(host, path string) *RouteView {
 	for _, route := range v.Routes[host] {
 		if strings.HasPrefix(path, route.Path) {
@@ -148,7 +148,7 @@
 	cells := t.rows[key].Cells
 	split, err := ParseSplit(cells[ColSplit])
 	if err != nil {
-		panic("table: compiled before it was checked: " + err.Error())
+		panic("table: Compile called on an unchecked table: " + err.Error())
 	}
 	return &RouteView{
 		Name:     key.Name,
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -9,17 +9,17 @@
 	"github.com/mastwheel/mastwheel/lease"
 )
 
-// SnapshotEvery is the number of records between two states of which a
-// snapshot may be written. Every instance reaches the same states, so it does
-// not matter who writes one, and any two can be compared.
+// SnapshotEvery is the interval of snapshots, in records. All instances take them
+// at the same offsets and reach the same states there, so any instance may write
+// one, and any two snapshots of an offset can be compared.
 const SnapshotEvery = 64
 
-// Snapshot is the whole state of a fold before a log offset.
+// Snapshot is the complete state of a fold before the record at offset Next.
 type Snapshot struct {
-	// Next is the offset of the first record that is not in it.
+	// Next is the offset of the first record that the snapshot does not include.
 	Next  uint64 `json:"next"`
 	Table *Table `json:"table"`
-	// Hash is that of the table.
+	// Hash is Table.Hash of the table.
 	Hash     uint64                 `json:"hash"`
 	Verdicts []Verdict              `json:"verdicts"`
 	Leases   map[string]lease.State `json:"leases"`
@@ -33,43 +33,45 @@
 	return s
 }
 
-func (f *Fold) mark() { f.marked = f.snapshot() }
+func (f *Fold) markSnapshot() { f.pending = f.snapshot() }
 
-// Due returns a snapshot to be written to the log, as a record, or nil when
-// the log has it already.
+// Due returns the record of a snapshot that should be appended to the log, or nil
+// when no snapshot is pending or the log already has it.
 func (f *Fold) Due() ([]byte, error) {
-	if f.marked == nil || f.seen >= f.marked.Next {
+	if f.pending == nil || f.verifiedNext >= f.pending.Next {
 		return nil, nil
 	}
-	record, err := json.Marshal(logRecord{Snapshot: f.marked})
-	return record, errors.Wrap(err, "write snapshot record")
+	record, err := json.Marshal(logRecord{Snapshot: f.pending})
+	return record, errors.Wrap(err, "encode snapshot record")
 }
 
-// verify compares a snapshot on the log with the state that this fold had.
-// Its table is not taken over: a fold that has come so far needs no snapshot.
+// verify compares a snapshot on the log with the state that this fold had at the
+// same offset. It does not restore the snapshot, since this fold has already
+// applied the records that led to it.
 func (f *Fold) verify(s *Snapshot) {
-	if !s.intact() || s.Next > f.next || (f.marked != nil && f.marked.Next == s.Next && f.marked.Hash != s.Hash) {
-		f.bad++
+	if !s.hashMatches() || s.Next > f.next || (f.pending != nil && f.pending.Next == s.Next && f.pending.Hash != s.Hash) {
+		f.badRecords++
 		return
 	}
-	f.seen = max(f.seen, s.Next)
+	f.verifiedNext = max(f.verifiedNext, s.Next)
 }
 
-// intact says whether the snapshot's hash is that of its table.
-func (s *Snapshot) intact() bool { return s.Table != nil && s.Table.Hash() == s.Hash }
+// hashMatches reports whether the snapshot has a table and Hash is the hash of it.
+func (s *Snapshot) hashMatches() bool { return s.Table != nil && s.Table.Hash() == s.Hash }
 
-// Snapshot writes the whole state of the fold. Folds that have taken the same
-// records write the same bytes.
+// Snapshot encodes the complete state of the fold. Folds of the same records
+// return the same bytes.
 func (f *Fold) Snapshot() ([]byte, error) {
 	data, err := json.Marshal(f.snapshot())
-	return data, errors.Wrap(err, "write fold snapshot")
+	return data, errors.Wrap(err, "encode fold snapshot")
 }
 
-// Restore reads what Snapshot wrote, unless the fold is already as far.
+// Restore replaces the fold's state with the output of Snapshot. It does nothing if
+// the fold has already reached the snapshot's offset.
 func (f *Fold) Restore(data []byte) error {
 	snapshot := new(Snapshot)
 	if err := json.Unmarshal(data, snapshot); err != nil {
-		return errors.Wrap(err, "read fold snapshot")
+		return errors.Wrap(err, "decode fold snapshot")
 	}
 	return f.restore(snapshot)
 }
@@ -78,11 +80,11 @@
 	if s.Next <= f.next {
 		return nil
 	}
-	if !s.intact() {
-		return errors.New("read fold snapshot: its hash is not that of its table")
+	if !s.hashMatches() {
+		return errors.New("restore fold snapshot: hash does not match the table")
 	}
 	if err := s.Table.Check(); err != nil {
-		return errors.WithMessage(err, "read fold snapshot")
+		return errors.WithMessage(err, "restore fold snapshot")
 	}
 	f.next = s.Next
 	f.table = s.Table
@@ -93,14 +95,15 @@
 	f.byID = make(map[string]Verdict, len(s.Verdicts))
 	f.order = nil
 	for _, verdict := range s.Verdicts {
-		f.remember(verdict)
+		f.storeVerdict(verdict)
 	}
 	return nil
 }
 
-// RestoreFromRecord takes over a snapshot found on the log, for a fold whose
-// next record is past retention. It returns false for any other record, and
-// for a snapshot that the fold, or the log's first kept offset, is past.
+// RestoreFromRecord restores a snapshot found on the log. It serves a fold whose
+// next record the log no longer retains. It returns false for any other record, for
+// a snapshot that does not advance the fold, and for a snapshot that ends before
+// first, the first retained offset of the log.
 func (f *Fold) RestoreFromRecord(data []byte, first uint64) bool {
 	var record logRecord
 	if json.Unmarshal(data, &record) != nil || record.Snapshot == nil || record.Snapshot.Next < first {
@@ -110,6 +113,6 @@
 	if f.restore(record.Snapshot) != nil || f.next == before {
 		return false
 	}
-	f.seen = max(f.seen, record.Snapshot.Next)
+	f.verifiedNext = max(f.verifiedNext, record.Snapshot.Next)
 	return true
 }
--- a/table/table.go
+++ b/table/table.go
@@ -1,7 +1,8 @@
-// Package table holds the operators' table: rows for services, pools, backend
-// servers and teams, columns for shares, caps and priorities. A table is an
-// immutable value; an accepted edit makes the next one. Every instance folds
-// the same log records in offset order and so reaches the same table.
+// Package table holds the operators' table, which configures services, pools,
+// backend servers, teams, routes and limits, one per row. Its columns hold
+// settings such as shares, caps and priorities. A table is immutable, and each
+// accepted edit creates a new one. Every instance folds the same log records in
+// offset order and so reaches the same table.
 package table
 
 import (
@@ -15,25 +16,25 @@
 	"github.com/pkg/errors"
 )
 
-// RowKey names a row.
+// RowKey identifies a row.
 type RowKey struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// String returns "kind.name", as a row is headed in TOML.
+// String returns "kind.name", which is also the heading of the row in TOML.
 func (k RowKey) String() string { return string(k.Kind) + "." + k.Name }
 
 // Row is one row of the table.
 type Row struct {
 	Cells map[Column]string `json:"cells"`
-	// Revision is the offset of the last edit that touched the row.
+	// Revision is the log offset of the last edit that changed the row.
 	Revision uint64 `json:"revision"`
 }
 
 // Table is an immutable table. The zero value is the empty table.
 type Table struct {
-	// Revision is the offset of the last accepted edit; 0 with none.
+	// Revision is the log offset of the last accepted edit, or 0 if there is none.
 	Revision uint64
 	rows     map[RowKey]Row
 }
@@ -44,7 +45,7 @@
 	return row, ok
 }
 
-// Keys returns the keys of one kind in order of name.
+// Keys returns the keys of the rows of one kind, sorted by name.
 func (t *Table) Keys(kind Kind) []RowKey {
 	var keys []RowKey
 	for key := range t.rows {
@@ -59,7 +60,7 @@
 // Len returns the number of rows.
 func (t *Table) Len() int { return len(t.rows) }
 
-// Hash fingerprints the whole content, to compare two instances' tables.
+// Hash returns a hash of the complete content, to compare the tables of two instances.
 func (t *Table) Hash() uint64 {
 	digest := xxhash.New()
 	fmt.Fprintf(digest, "%d\n", t.Revision)
@@ -68,7 +69,7 @@
 			row := t.rows[key]
 			fmt.Fprintf(digest, "%s %d\n", key, row.Revision)
 			for _, s := range columns[kind] {
-				if value := row.Cells[s.column]; value != "" || !s.later {
+				if value := row.Cells[s.column]; value != "" || !s.omitEmptyInHash {
 					fmt.Fprintf(digest, "%q\n", value)
 				}
 			}
@@ -77,7 +78,7 @@
 	return digest.Sum64()
 }
 
-// jsonRow is the form of a row in JSON.
+// jsonRow is the JSON form of a row.
 type jsonRow struct {
 	RowKey
 	Row
@@ -88,7 +89,7 @@
 	Rows     []jsonRow `json:"rows"`
 }
 
-// MarshalJSON writes the rows in a fixed order.
+// MarshalJSON encodes the table with its rows in a fixed order.
 func (t *Table) MarshalJSON() ([]byte, error) {
 	out := jsonTable{Revision: t.Revision, Rows: []jsonRow{}}
 	for _, kind := range Kinds {
@@ -99,7 +100,7 @@
 	return json.Marshal(out)
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON decodes the output of MarshalJSON.
 func (t *Table) UnmarshalJSON(data []byte) error {
 	var in jsonTable
 	if err := json.Unmarshal(data, &in); err != nil {
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// with returns a copy of t with changes applied at the given revision.
-func (t *Table) with(changes []Change, revision uint64) *Table {
+// withChanges returns a copy of t with the changes applied at the given revision.
+func (t *Table) withChanges(changes []Change, revision uint64) *Table {
 	next := &Table{Revision: revision, rows: maps.Clone(t.rows)}
 	if next.rows == nil {
 		next.rows = make(map[RowKey]Row)
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-const small = `
+const smallTable = `
 [pool.read]
 role = "prefill"
 [pool.write]
@@ -37,8 +37,8 @@
 }
 
 func TestTOML(t *testing.T) {
-	Convey("A table survives a round through TOML and through JSON", t, func() {
-		first := mustParse(t, small)
+	Convey("A table round-trips through TOML and JSON", t, func() {
+		first := mustParse(t, smallTable)
 		text, err := first.TOML()
 		So(err, ShouldBeNil)
 		So(mustParse(t, string(text)).Hash(), ShouldEqual, first.Hash())
@@ -49,14 +49,14 @@
 		So(json.Unmarshal(encoded, second), ShouldBeNil)
 		So(second.Hash(), ShouldEqual, first.Hash())
 	})
-	Convey("A fault names row and column", t, func() {
+	Convey("An error names the row and the column", t, func() {
 		faults := map[string]string{
-			strings.Replace(small, `"10.0.0.1:80"`, `"host:80"`, 1):  "row backend.read-1, column address",
-			strings.Replace(small, `900`, `0`, 1):                    "row service.dossier, column ttft_ms",
-			strings.Replace(small, `"write"`, `"wrote"`, 1):          `row service.dossier, column decode_pool: no pool row named "wrote"`,
-			strings.Replace(small, `ttft_ms`, `ttf_ms`, 1):           "row service.dossier, column ttf_ms: no such column",
-			strings.Replace(small, `[pool.write]`, `[pul.write]`, 1): `unknown kind "pul"`,
-			small + "x": "line 16",
+			strings.Replace(smallTable, `"10.0.0.1:80"`, `"host:80"`, 1):  "row backend.read-1, column address",
+			strings.Replace(smallTable, `900`, `0`, 1):                    "row service.dossier, column ttft_ms",
+			strings.Replace(smallTable, `"write"`, `"wrote"`, 1):          `row service.dossier, column decode_pool: no pool row named "wrote"`,
+			strings.Replace(smallTable, `ttft_ms`, `ttf_ms`, 1):           "row service.dossier, column ttf_ms: no such column",
+			strings.Replace(smallTable, `[pool.write]`, `[pul.write]`, 1): `unknown kind "pul"`,
+			smallTable + "x": "line 16",
 		}
 		for text, want := range faults {
 			_, err := ParseTOML([]byte(text))
@@ -65,7 +65,7 @@
 		}
 	})
 	Convey("The compiled view resolves pools and defaults", t, func() {
-		view := mustParse(t, small).Compile()
+		view := mustParse(t, smallTable).Compile()
 		service := view.Models["dossier"]
 		So(service.TTFT.Milliseconds(), ShouldEqual, 900)
 		So(service.TBT, ShouldEqual, defaultTBT)
@@ -74,7 +74,7 @@
 	})
 }
 
-func edit(id string, base uint64, row, value string) Edit {
+func shareEdit(id string, base uint64, row, value string) Edit {
 	key := RowKey{Kind: Team, Name: row}
 	return Edit{
 		ID: id, Base: base, Author: "ana", Reason: "test",
@@ -82,7 +82,7 @@
 	}
 }
 
-func record(e Edit) []byte {
+func encodeEdit(e Edit) []byte {
 	encoded, err := json.Marshal(e)
 	if err != nil {
 		panic(err)
@@ -90,13 +90,13 @@
 	return encoded
 }
 
-func TestFoldRaces(t *testing.T) {
-	Convey("Of two edits of one row on the same base, the first is accepted", t, func() {
+func TestFoldConflicts(t *testing.T) {
+	Convey("The first of two edits of one row with the same base is accepted", t, func() {
 		fold := NewFold()
-		So(fold.Add(1, record(edit("a", 0, "counter", "2"))), ShouldBeNil)
-		So(fold.Add(2, record(edit("b", 0, "counter", "3"))), ShouldBeNil)
-		So(fold.Add(3, record(edit("c", 0, "dealer", "4"))), ShouldBeNil)
-		So(fold.Add(4, record(edit("a", 3, "counter", "9"))), ShouldBeNil)
+		So(fold.Add(1, encodeEdit(shareEdit("a", 0, "counter", "2"))), ShouldBeNil)
+		So(fold.Add(2, encodeEdit(shareEdit("b", 0, "counter", "3"))), ShouldBeNil)
+		So(fold.Add(3, encodeEdit(shareEdit("c", 0, "dealer", "4"))), ShouldBeNil)
+		So(fold.Add(4, encodeEdit(shareEdit("a", 3, "counter", "9"))), ShouldBeNil)
 		So(fold.Add(5, []byte("not json")), ShouldBeNil)
 
 		second, _ := fold.Verdict("b")
@@ -108,33 +108,34 @@
 		So(counter.Cells[ColShare], ShouldEqual, "2")
 		So(fold.Next(), ShouldEqual, 6)
 	})
-	Convey("A gap is an error and folds nothing", t, func() {
+	Convey("A gap in the offsets is an error and changes nothing", t, func() {
 		fold := NewFold()
-		So(fold.Add(2, record(edit("a", 0, "counter", "2"))), ShouldNotBeNil)
+		So(fold.Add(2, encodeEdit(shareEdit("a", 0, "counter", "2"))), ShouldNotBeNil)
 		So(fold.Next(), ShouldEqual, 1)
 	})
 	Convey("A conflict is a typed error", t, func() {
 		fold := NewFold()
-		So(fold.Add(1, record(edit("a", 0, "counter", "2"))), ShouldBeNil)
-		_, err := fold.Table().Apply(edit("b", 0, "counter", "3"), 2)
+		So(fold.Add(1, encodeEdit(shareEdit("a", 0, "counter", "2"))), ShouldBeNil)
+		_, err := fold.Table().Apply(shareEdit("b", 0, "counter", "3"), 2)
 		var conflict *ConflictError
 		So(errors.As(err, &conflict), ShouldBeTrue)
 		So(conflict.Revision, ShouldEqual, 1)
 	})
 }
 
-// Any order of delivery, with repeats, and any snapshot in between gives the
-// same fold, and a revision never falls.
-func TestFoldAgrees(t *testing.T) {
+// TestFoldIsDeterministic checks that records delivered in any order, with duplicates
+// and restarts from a snapshot, lead to the same table as in-order delivery, and that
+// the revision never decreases.
+func TestFoldIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "records")
 		records := make([][]byte, count)
 		for i := range records {
-			e := edit(
+			e := shareEdit(
 				rapid.StringMatching(`[a-f]`).Draw(t, "id"), uint64(rapid.IntRange(0, i+1).Draw(t, "base")),
 				rapid.SampledFrom([]string{"counter", "dealer"}).Draw(t, "row"), rapid.StringMatching(`[0-9]{1,2}`).Draw(t, "value"),
 			)
-			records[i] = record(e)
+			records[i] = encodeEdit(e)
 		}
 		straight := NewFold()
 		for i, data := range records {
@@ -148,11 +149,11 @@
 			offset := uint64(rapid.IntRange(1, count).Draw(t, "delivered"))
 			other.Add(offset, records[offset-1])
 			if now := other.Table().Revision; now < revision {
-				t.Fatalf("revision fell from %d to %d", revision, now)
+				t.Fatalf("revision decreased from %d to %d", revision, now)
 			}
 			revision = other.Table().Revision
 			if rapid.IntRange(0, 5).Draw(t, "restart") == 0 {
-				other = restored(t, other)
+				other = restoreFrom(t, other)
 			}
 			other.Add(other.Next(), records[min(int(other.Next()), count)-1])
 		}
@@ -162,8 +163,8 @@
 	})
 }
 
-// restored is the fold of an instance that starts from another's snapshot.
-func restored(t *rapid.T, from *Fold) *Fold {
+// restoreFrom returns a new fold that is restored from a snapshot of from.
+func restoreFrom(t *rapid.T, from *Fold) *Fold {
 	snapshot, err := from.Snapshot()
 	if err != nil {
 		t.Fatal(err)
--- a/table/toml.go
+++ b/table/toml.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// document is the TOML form: document[kind][row][column] = value.
+// document is the TOML form of a table: document[kind][row][column] = value.
 type document map[string]map[string]map[string]any
 
-// ParseTOML reads a whole table. The result is checked.
+// ParseTOML parses and checks a complete table.
 func ParseTOML(data []byte) (*Table, error) {
 	var doc document
 	if err := toml.Unmarshal(data, &doc); err != nil {
@@ -20,7 +20,7 @@
 			line, column := decodeErr.Position()
 			return nil, errors.Errorf("line %d, character %d: %v", line, column, err)
 		}
-		return nil, errors.Wrap(err, "a table is written as [kind.row] with column = value")
+		return nil, errors.Wrap(err, "parse table: expected sections [kind.row] with lines column = value")
 	}
 	t := &Table{rows: make(map[RowKey]Row)}
 	for kind, rows := range doc {
@@ -42,7 +42,7 @@
 	return out
 }
 
-// TOML writes the table so that ParseTOML reads it back.
+// TOML encodes the table in the form that ParseTOML parses.
 func (t *Table) TOML() ([]byte, error) {
 	doc := make(document)
 	for key, row := range t.rows {
@@ -59,7 +59,7 @@
 	return toml.Marshal(doc)
 }
 
-// Diff returns the changes that lead from t to other, in a fixed order.
+// Diff returns the changes that turn t into other, in a fixed order.
 func (t *Table) Diff(other *Table) []Change {
 	var changes []Change
 	for _, kind := range Kinds {
--- a/table/view.go
+++ b/table/view.go
@@ -18,33 +18,31 @@
 	Priority     int
 	InFlight     int
 	RetryPercent int
-	// Connections bounds the connections to each server of the service, from
-	// all instances together; 0 means no bound.
+	// Connections limits the connections to each server of the service from all
+	// instances together. 0 means no limit.
 	Connections int
-	// HealthPath answers health checks; empty without.
+	// HealthPath is the path for health checks. Empty means that there are none.
 	HealthPath string
-	// ColdRate is how many requests a second a server bears that has just started, from all
-	// instances together; 0 means no bound.
+	// ColdRate limits the requests per second that all instances together send to a server
+	// that has just started. 0 means no limit.
 	ColdRate float64
 	Engine   EngineView
 }
 
-// EngineView describes the model engines of a service; zero values are not
-// known.
+// EngineView describes the model engines of a service. Zero values mean unknown.
 type EngineView struct {
-	// MemoryTokens is the KV memory of one engine, in tokens, and TokenBytes
-	// the bytes of one.
+	// MemoryTokens is the KV memory of one engine in tokens. TokenBytes is the
+	// size of one token in that memory.
 	MemoryTokens int
 	TokenBytes   int
-	// Hold is the longest time for which memory can be reserved, Handle how
-	// long a prefill result survives, and Switch how long a change of role
-	// takes.
+	// Hold is the longest time for which memory can be reserved. Handle is the
+	// lifetime of a prefill result. Switch is the duration of a role change.
 	Hold   time.Duration
 	Handle time.Duration
 	Switch time.Duration
-	// EventTokens is how many tokens one event of a stream usually holds.
+	// EventTokens is the usual number of tokens in one event of a stream.
 	EventTokens int
-	// Moves is set if an engine can hand a running stream to another.
+	// Moves is set if an engine can move a running stream to another engine.
 	Moves bool
 }
 
@@ -55,15 +53,15 @@
 	Role    string
 	Address string
 	Zone    string
-	// Pieces is the decode memory, in pieces; 0 for other roles.
+	// Pieces is the decode memory in pieces, or 0 for other roles.
 	Pieces int
-	// MemoryTokens is the KV memory in tokens where it is known so exactly.
+	// MemoryTokens is the KV memory in tokens, where it is known with that precision.
 	MemoryTokens int
-	// LinkBytesPerSecond is the rate of the server's link for KV transfers.
+	// LinkBytesPerSecond is the bandwidth of the server's link for KV transfers.
 	LinkBytesPerSecond int64
 	Drain              bool
-	// Weights names the version that the server is to have loaded; empty
-	// leaves it to the platform.
+	// Weights is the version of the weights that the server should load. Empty leaves
+	// the choice to the platform.
 	Weights string
 }
 
@@ -72,33 +70,33 @@
 	Name     string
 	Share    int
 	Priority int
-	// InFlight is a cap; 0 means none.
+	// InFlight limits the team's requests in flight. 0 means no limit.
 	InFlight int
-	// Keyed is set for teams whose callers show a key.
+	// Keyed is set for teams whose callers authenticate with an API key.
 	Keyed bool
-	// Digests are those of the team's keys.
+	// Digests holds the digests of the team's API keys.
 	Digests   []KeyDigest
 	Allotment Allotment
-	// Regions are those that may serve the team; empty means all.
+	// Regions lists the regions that may serve the team. Empty means all.
 	Regions []string
 }
 
-// View is a table compiled for the path of a request.
+// View is a table compiled for fast lookups by requests.
 type View struct {
 	Revision uint64
 	Services map[string]*ServiceView
-	// Models finds a model service by the model's name.
+	// Models maps model names to their services.
 	Models   map[string]*ServiceView
 	Backends map[string]*BackendView
 	Teams    map[string]*TeamView
-	// Keyed is set if callers show a key on routes that are not public, and Keys finds
-	// the team of one.
+	// Keyed is set if callers need an API key on routes that are not public. Keys maps
+	// key digests to teams.
 	Keyed bool
 	Keys  map[KeyDigest]*TeamView
-	// Routes finds the routes of a host, the longest path first.
+	// Routes maps hosts to their routes, the longest path first.
 	Routes map[string][]*RouteView
 	Limits LimitsView
-	// TopPriority is the highest priority of any model service plus that of
+	// TopPriority is the highest priority value of any model service plus that of
 	// any team.
 	TopPriority int
 }
@@ -113,7 +111,8 @@
 	bytesPerMB          = 1_000_000
 )
 
-// Compile parses a checked table.
+// Compile returns the view of a table that Check has accepted. It may panic on other
+// tables.
 func (t *Table) Compile() *View {
 	view := &View{
 		Revision: t.Revision,
@@ -211,7 +210,7 @@
 
 		Regions: ParseRegions(cells[ColRegions]),
 		Keyed:   cells[ColKeys] != "",
-		Digests: digestsOf(cells[ColKeys]),
+		Digests: mustParseKeys(cells[ColKeys]),
 		Allotment: Allotment{
 			Unit:        cells[ColUnit],
 			Rate:        decimal(cells[ColRate]),
@@ -221,7 +220,7 @@
 	}
 }
 
-// addTeam adds a team with its keys.
+// addTeam adds a team and its key digests to the view.
 func (v *View) addTeam(team *TeamView) {
 	v.Teams[team.Name] = team
 	v.Keyed = v.Keyed || team.Keyed
@@ -230,39 +229,39 @@
 	}
 }
 
-// number parses a cell that Check has accepted.
-func number(value string, empty int) int {
+// number parses a cell that Check has accepted, or returns defaultValue if it is empty.
+func number(value string, defaultValue int) int {
 	if value == "" {
-		return empty
+		return defaultValue
 	}
 	n, err := strconv.Atoi(value)
 	if err != nil {
-		panic("table: compiled before it was checked: " + err.Error())
+		panic("table: Compile called on an unchecked table: " + err.Error())
 	}
 	return n
 }
 
-// decimal parses a cell that Check has accepted; an empty one is 0.
+// decimal parses a cell that Check has accepted, or returns 0 if it is empty.
 func decimal(value string) float64 {
 	if value == "" {
 		return 0
 	}
 	n, err := strconv.ParseFloat(value, 64)
 	if err != nil {
-		panic("table: compiled before it was checked: " + err.Error())
+		panic("table: Compile called on an unchecked table: " + err.Error())
 	}
 	return n
 }
 
-func millis(value string, empty time.Duration) time.Duration {
+func millis(value string, defaultValue time.Duration) time.Duration {
 	if value == "" {
-		return empty
+		return defaultValue
 	}
 	return time.Duration(number(value, 0)) * time.Millisecond
 }
 
-// Restrict returns the view with only some of the backend servers in it. The
-// services and teams stay.
+// Restrict returns a copy of the view with only the backend servers for which keep
+// returns true. All services and teams stay.
 func (v *View) Restrict(keep func(*BackendView) bool) *View {
 	next := *v
 	next.Backends = make(map[string]*BackendView)
