--- a/operation/clock.go
+++ b/operation/clock.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// highest keeps a clock from running backwards. A goroutine may read the
-// uptime and be paused before it takes the lock; by then records may have been
-// dropped by a later reading, and the older one must not bring their ids back
-// to life.
-type highest time.Duration
+// monotonicClock holds the highest uptime seen so far. A goroutine may read the
+// uptime and be paused before it acquires the lock. Meanwhile another goroutine
+// may have dropped expired records by a later uptime. With the older uptime, the
+// ids of these records would count as valid again.
+type monotonicClock time.Duration
 
-// reach returns the latest reading seen so far, this one included.
-func (h *highest) reach(uptime time.Duration) time.Duration {
-	*h = max(*h, highest(uptime))
+// advance records an uptime and returns the highest one seen so far.
+func (h *monotonicClock) advance(uptime time.Duration) time.Duration {
+	*h = max(*h, monotonicClock(uptime))
 	return time.Duration(*h)
 }
--- a/operation/home.go
+++ b/operation/home.go
@@ -7,61 +7,62 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// Status is what is known of an operation.
+// Status is the known state of an operation.
 type Status struct {
-	// Running is set while the operation is not yet decided.
+	// Running is set while the operation has no outcome yet.
 	Running bool           `json:"running,omitempty"`
 	Outcome reason.Outcome `json:"outcome"`
 	Reason  reason.Reason  `json:"reason,omitempty"`
 }
 
-// Home records the operations that this incarnation is the home of, so that
-// each begins at most once. Its clock is the instance's uptime. Safe for
-// concurrent use.
+// Home records the operations whose home is this incarnation of the instance, so
+// that each begins at most once. Its clock is the instance's uptime. It is safe
+// for concurrent use.
 type Home struct {
 	self Member
-	// most bounds the records; over it no new operation begins.
-	most int
+	// maxRecords limits the number of records. At the limit no new operation begins.
+	maxRecords int
 
 	mu      sync.Mutex
-	clock   highest
+	clock   monotonicClock
 	records map[string]homeRecord
 }
 
 type homeRecord struct {
 	status Status
 	expiry time.Duration
-	// kept is an answer that was never begun to be written, because its caller
-	// had gone; nil with none.
-	kept any
+	// unsentAnswer is an answer of which nothing was written because the caller had
+	// disconnected, or nil.
+	unsentAnswer any
 }
 
-// NewHome returns a Home that keeps at most that many records.
-func NewHome(self Member, most int) *Home {
-	return &Home{self: self, most: most, records: make(map[string]homeRecord)}
+// NewHome returns a Home that keeps at most maxRecords records.
+func NewHome(self Member, maxRecords int) *Home {
+	return &Home{self: self, maxRecords: maxRecords, records: make(map[string]homeRecord)}
 }
 
-// Begin opens an operation. When it returns a reason, the operation must not
-// be run: status then says what the caller may be told.
+// Begin opens an operation. If it returns a reason other than reason.None, the
+// operation must not be run, and status is what may be reported to the caller.
 func (h *Home) Begin(id ID, uptime time.Duration) (status Status, why reason.Reason) {
 	if id.Home != h.self {
 		return Status{Outcome: reason.Unknown}, reason.OperationForeign
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	uptime = h.clock.reach(uptime)
+	uptime = h.clock.advance(uptime)
 	text := id.String()
 	if record, seen := h.records[text]; seen {
-		return record.status, seenReason(record.status)
+		return record.status, duplicateReason(record.status)
 	}
 	if uptime >= id.HomeExpiry {
 		return Status{Outcome: reason.Unknown}, reason.OperationExpired
 	}
-	if len(h.records) >= h.most {
+	if len(h.records) >= h.maxRecords {
 		h.expire(uptime)
 	}
-	if len(h.records) >= h.most {
-		// With no room for a record, "not run" could not be kept true.
+	if len(h.records) >= h.maxRecords {
+		// There is no room for a record that would keep the answer "not run" true, so
+		// the outcome is reported as unknown.
 		return Status{Outcome: reason.Unknown}, reason.QueueFull
 	}
 	h.records[text] = homeRecord{
@@ -71,7 +72,7 @@
 	return Status{}, reason.None
 }
 
-// End records the outcome of an operation that Begin opened.
+// End records the outcome of an operation that Begin has opened.
 func (h *Home) End(id ID, status Status) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,38 +83,38 @@
 	h.records[text] = record
 }
 
-// Keep holds an answer for a caller that had gone before a byte of it was
+// Keep stores an answer whose caller disconnected before any byte of it was
 // written.
 func (h *Home) Keep(id ID, answer any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	text := id.String()
 	record := h.records[text]
-	record.kept = answer
+	record.unsentAnswer = answer
 	record.expiry = id.HomeExpiry
 	h.records[text] = record
 }
 
-// Take hands over a kept answer, once.
+// Take removes and returns an answer that Keep has stored.
 func (h *Home) Take(id ID) (answer any, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	text := id.String()
 	record, seen := h.records[text]
-	if !seen || record.kept == nil {
+	if !seen || record.unsentAnswer == nil {
 		return nil, false
 	}
-	answer, record.kept = record.kept, nil
+	answer, record.unsentAnswer = record.unsentAnswer, nil
 	h.records[text] = record
 	return answer, true
 }
 
-// Ask returns what is known of an operation. An id that was never begun is
-// closed first, so that the answer "not run" stays true.
+// Ask returns the status of an operation. An id that never began is closed
+// first, so that the answer "not run" stays true.
 func (h *Home) Ask(id ID, uptime time.Duration) Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	uptime = h.clock.reach(uptime)
+	uptime = h.clock.advance(uptime)
 	text := id.String()
 	if record, seen := h.records[text]; seen {
 		return record.status
@@ -126,11 +127,12 @@
 	return closed
 }
 
-// Expire drops records whose ids Begin would refuse by their age anyway.
+// Expire drops finished records whose ids have expired. Begin rejects these ids
+// by their expiry.
 func (h *Home) Expire(uptime time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.expire(h.clock.reach(uptime))
+	h.expire(h.clock.advance(uptime))
 }
 
 func (h *Home) expire(uptime time.Duration) {
@@ -148,7 +150,7 @@
 	return len(h.records)
 }
 
-func seenReason(status Status) reason.Reason {
+func duplicateReason(status Status) reason.Reason {
 	if status.Outcome == reason.NotRun {
 		return reason.OperationClosed
 	}
--- a/operation/id.go
+++ b/operation/id.go
@@ -1,9 +1,10 @@
-// Package operation keeps the truth about whether a call ran, without
-// consensus. An operation id names a home, which alone may send the call to a
-// backend server, and a witness in another availability zone, which must have
-// acknowledged the home's intent first. A caller that has lost its home asks
-// the witness: with no intent seen, the witness closes the id for ever and
-// "not run" is true from then on.
+// Package operation tracks whether a call ran, without consensus.
+//
+// An operation id names two instances. Only the home may send the call to a
+// backend server. The witness, in another availability zone, must first have
+// acknowledged the home's intent to send it. A caller that can no longer reach
+// the home queries the witness. If the witness has seen no intent, it closes the
+// id permanently, so that its answer "not run" stays true.
 package operation
 
 import (
@@ -14,22 +15,22 @@
 	"github.com/pkg/errors"
 )
 
-// Incarnation tells one run of an instance from the next. It is the start
-// time in milliseconds since the epoch.
+// Incarnation identifies one run of an instance. It is the start time of the run
+// in milliseconds since the Unix epoch.
 type Incarnation uint64
 
-// Member names one run of an instance.
+// Member identifies an instance and one run of it.
 type Member struct {
 	Name        string
 	Incarnation Incarnation
 }
 
-// String returns "name.incarnation", the incarnation in base 36.
+// String returns "name.incarnation" with the incarnation in base 36.
 func (m Member) String() string {
 	return m.Name + "." + strconv.FormatUint(uint64(m.Incarnation), base36)
 }
 
-// ParseMember reads what String wrote.
+// ParseMember parses the output of Member.String.
 func ParseMember(text string) (Member, bool) {
 	dot := strings.LastIndexByte(text, '.')
 	if dot < 0 {
@@ -46,52 +47,52 @@
 type ID struct {
 	Home    Member
 	Witness Member
-	// HomeExpiry and WitnessExpiry are uptimes, each on its own member's
-	// monotonic clock, after which that member refuses the id. With a clock of
-	// its own, neither depends on how fast another's runs.
+	// HomeExpiry and WitnessExpiry are the uptimes of the home and of the witness
+	// after which each rejects the id. Each member uses its own monotonic clock, so
+	// differences in clock rate between members do not matter.
 	HomeExpiry    time.Duration
 	WitnessExpiry time.Duration
-	// Nonce is the caller's part.
+	// Nonce is the part of the id that the caller chooses.
 	Nonce string
 }
 
 const (
 	base36 = 36
-	// idFields is the number of fields of an id in text.
+	// idFields is the number of fields in the text form of an id.
 	idFields = 8
-	// idVersion is the first field; another layout gets another version.
+	// idVersion is the first field. It changes with the layout.
 	idVersion = "m1"
-	// maxNonce bounds the caller's part, in bytes.
+	// maxNonce is the maximum length of a nonce in bytes.
 	maxNonce = 64
-	// MaxIDLength bounds a whole id, in bytes.
-	MaxIDLength = 256
-	fieldMark   = "~"
+	// MaxIDLength is the maximum length of an id in bytes.
+	MaxIDLength    = 256
+	fieldSeparator = "~"
 )
 
-// Prefix returns everything of the id but the caller's nonce.
+// Prefix returns the text of the id without the nonce.
 func (id ID) Prefix() string {
 	fields := []string{
 		idVersion,
-		id.Home.Name, format(uint64(id.Home.Incarnation)),
-		id.Witness.Name, format(uint64(id.Witness.Incarnation)),
-		format(uint64(id.HomeExpiry.Milliseconds())),
-		format(uint64(id.WitnessExpiry.Milliseconds())),
+		id.Home.Name, formatUint(uint64(id.Home.Incarnation)),
+		id.Witness.Name, formatUint(uint64(id.Witness.Incarnation)),
+		formatUint(uint64(id.HomeExpiry.Milliseconds())),
+		formatUint(uint64(id.WitnessExpiry.Milliseconds())),
 	}
-	return strings.Join(fields, fieldMark) + fieldMark
+	return strings.Join(fields, fieldSeparator) + fieldSeparator
 }
 
-// String returns the id as text.
+// String returns the text form of the id.
 func (id ID) String() string { return id.Prefix() + id.Nonce }
 
-// ErrMalformed means that a text is not an operation id of this system.
+// ErrMalformed is returned for a text that is not an operation id.
 var ErrMalformed = errors.New("not an operation id; take its prefix from GET /v1/entry and add a nonce of your own")
 
-// ParseID reads an id as text.
+// ParseID parses the text form of an id.
 func ParseID(text string) (ID, error) {
 	if len(text) > MaxIDLength {
 		return ID{}, ErrMalformed
 	}
-	fields := strings.Split(text, fieldMark)
+	fields := strings.Split(text, fieldSeparator)
 	if len(fields) != idFields || fields[0] != idVersion {
 		return ID{}, ErrMalformed
 	}
@@ -110,21 +111,22 @@
 		WitnessExpiry: millis(numbers[3]),
 		Nonce:         fields[7],
 	}
-	// One operation must have one spelling, or a second one would pass for
-	// another operation.
+	// An id must have exactly one text form. Otherwise another form of it would be
+	// treated as another operation.
 	if !validNonce(id.Nonce) || id.Home.Name == "" || id.String() != text {
 		return ID{}, ErrMalformed
 	}
 	return id, nil
 }
 
-func format(n uint64) string { return strconv.FormatUint(n, base36) }
+func formatUint(n uint64) string { return strconv.FormatUint(n, base36) }
 
-// millis converts to a duration; numbers too large for one become the
-// largest, which no uptime reaches and no second spelling shares.
+// millis converts milliseconds to a duration. Values out of range become the
+// largest duration, which no uptime reaches. Its text form differs from theirs, so
+// ParseID rejects them.
 func millis(n uint64) time.Duration {
-	const most = uint64(1<<63-1) / uint64(time.Millisecond)
-	return time.Duration(min(n, most)) * time.Millisecond
+	const maxMillis = uint64(1<<63-1) / uint64(time.Millisecond)
+	return time.Duration(min(n, maxMillis)) * time.Millisecond
 }
 
 func validNonce(nonce string) bool {
--- a/operation/witness.go
+++ b/operation/witness.go
@@ -7,18 +7,18 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// intentRetention is how long past its expiry a witness remembers an intent,
-// to answer a caller with its outcome. Safety does not depend on it.
+// intentRetention is the time for which a witness keeps an intent after its
+// expiry, to report the outcome to callers. Safety does not depend on it.
 const intentRetention = time.Minute
 
-// Witness remembers intents of homes and ids that it has closed. Its clock is
-// the instance's uptime. Safe for concurrent use.
+// Witness records intents of homes and ids that it has closed. Its clock is the
+// instance's uptime. It is safe for concurrent use.
 type Witness struct {
-	self Member
-	most int
+	self       Member
+	maxRecords int
 
 	mu      sync.Mutex
-	clock   highest
+	clock   monotonicClock
 	records map[string]witnessRecord
 }
 
@@ -28,21 +28,22 @@
 	expiry time.Duration
 }
 
-// NewWitness returns a Witness that keeps at most that many records.
-func NewWitness(self Member, most int) *Witness {
-	return &Witness{self: self, most: most, records: make(map[string]witnessRecord)}
+// NewWitness returns a Witness that keeps at most maxRecords records.
+func NewWitness(self Member, maxRecords int) *Witness {
+	return &Witness{self: self, maxRecords: maxRecords, records: make(map[string]witnessRecord)}
 }
 
-// Intent acknowledges that the home is about to send the operation. Any
-// reason other than None means that the home must not send it. Asking twice
-// for the same id is harmless: only the home asks, and it begins an id once.
+// Intent acknowledges that the home is about to send the operation. If it returns
+// a reason other than reason.None, the home must not send it. A repeated intent
+// for the same id is harmless, since only the home sends intents and it begins an
+// id at most once.
 func (w *Witness) Intent(id ID, uptime time.Duration) reason.Reason {
 	if id.Witness != w.self {
 		return reason.NoWitness
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	uptime = w.clock.reach(uptime)
+	uptime = w.clock.advance(uptime)
 	if uptime >= id.WitnessExpiry {
 		return reason.OperationExpired
 	}
@@ -53,7 +54,7 @@
 		}
 		return reason.None
 	}
-	if !w.room(uptime) {
+	if !w.hasRoom(uptime) {
 		return reason.NoWitness
 	}
 	w.records[text] = witnessRecord{
@@ -63,7 +64,7 @@
 	return reason.None
 }
 
-// Settle records the outcome that the home reports for an intent.
+// Settle records the outcome of an intent, as reported by the home.
 func (w *Witness) Settle(id ID, status Status) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,13 +75,14 @@
 	}
 }
 
-// Ask answers a caller that has lost its home. An id with no intent is closed
-// first, so that the answer "not run" stays true. Past its expiry an id can no
-// longer get an intent, but one may have been forgotten: that is unknown.
+// Ask returns the status of an operation to a caller that can no longer reach the
+// home. An id without an intent is closed first, so that the answer "not run"
+// stays true. After its expiry an id can no longer get an intent, but an earlier
+// one may have been dropped, so the outcome is unknown.
 func (w *Witness) Ask(id ID, uptime time.Duration) Status {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	uptime = w.clock.reach(uptime)
+	uptime = w.clock.advance(uptime)
 	text := id.String()
 	if record, seen := w.records[text]; seen {
 		return record.status
@@ -88,7 +90,7 @@
 	if id.Witness != w.self || uptime >= id.WitnessExpiry {
 		return Status{Outcome: reason.Unknown, Reason: reason.OperationExpired}
 	}
-	if !w.room(uptime) {
+	if !w.hasRoom(uptime) {
 		return Status{Outcome: reason.Unknown, Reason: reason.QueueFull}
 	}
 	closed := Status{Outcome: reason.NotRun, Reason: reason.OperationClosed}
@@ -96,11 +98,11 @@
 	return closed
 }
 
-// Expire drops records that are past their expiry and retention.
+// Expire drops records whose retention after their expiry has ended.
 func (w *Witness) Expire(uptime time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.expire(w.clock.reach(uptime))
+	w.expire(w.clock.advance(uptime))
 }
 
 // Len returns the number of records.
@@ -110,11 +112,11 @@
 	return len(w.records)
 }
 
-func (w *Witness) room(uptime time.Duration) bool {
-	if len(w.records) >= w.most {
+func (w *Witness) hasRoom(uptime time.Duration) bool {
+	if len(w.records) >= w.maxRecords {
 		w.expire(uptime)
 	}
-	return len(w.records) < w.most
+	return len(w.records) < w.maxRecords
 }
 
 func (w *Witness) expire(uptime time.Duration) {
