--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -1,6 +1,7 @@
-// Package heartbeat carries short messages between sibling instances, as UDP
-// datagrams: who is alive, what each has committed at the backend servers, and
-// which addresses the others have. A lost datagram is made good by the next.
+// Package heartbeat exchanges short messages between sibling instances as UDP
+// datagrams. They report which instances are alive, the load that each has
+// committed at the backend servers, and the addresses of other instances. The
+// next datagram makes up for a lost one.
 package heartbeat
 
 import (
@@ -23,17 +24,17 @@
 	"github.com/mastwheel/mastwheel/subset"
 )
 
-// Load is what one instance has committed at one backend server.
+// Load is the load that one instance has committed at one backend server.
 type Load struct {
 	// Server is the route.ServerID of the server.
 	Server uint32 `cbor:"1,keyasint"`
-	// InFlight, Unread and Memory are the parts of a route.Commitment.
+	// InFlight, Unread and Memory are the fields of a route.Commitment.
 	InFlight int `cbor:"2,keyasint,omitempty"`
 	Unread   int `cbor:"3,keyasint,omitempty"`
 	Memory   int `cbor:"4,keyasint,omitempty"`
 }
 
-// Commitment returns the load in the terms of package route.
+// Commitment returns the load as a route.Commitment.
 func (l Load) Commitment() route.Commitment {
 	return route.Commitment{InFlight: l.InFlight, Unread: l.Unread, Memory: l.Memory}
 }
@@ -42,78 +43,83 @@
 type Message struct {
 	From  member.Info `cbor:"1,keyasint"`
 	Loads []Load      `cbor:"2,keyasint,omitempty"`
-	// Peers are addresses of some other siblings.
+	// Peers lists the addresses of some other siblings.
 	Peers []string `cbor:"3,keyasint,omitempty"`
-	// Changing lists the servers that the sender has ordered to change their
-	// role, by route.ServerID.
+	// Changing lists the servers, by route.ServerID, that the sender has ordered to
+	// change their role.
 	Changing []Change `cbor:"5,keyasint,omitempty"`
-	// TableHeard and ServersHeard are how long ago the store last answered anyone with all
-	// that it had of table and list, as far as the sender knows; nil if never.
+	// TableHeard and ServersHeard are the times since the store last answered any instance
+	// with everything that it had of the table and of the list of servers, as far as the
+	// sender knows. Nil means never.
 	TableHeard   *time.Duration `cbor:"6,keyasint,omitempty"`
 	ServersHeard *time.Duration `cbor:"7,keyasint,omitempty"`
-	// Hubs is set by senders that use hubs, Want in those that ask the receiver to
-	// be theirs: to send a digest with each beat for a while.
+	// Hubs is set by senders that use hubs. Want requests that the receiver act as the
+	// sender's hub, which means that it sends a digest with each heartbeat for a while.
 	Hubs bool `cbor:"8,keyasint,omitempty"`
 	Want bool `cbor:"9,keyasint,omitempty"`
-	// Seen is up to where the sender has the receiver's account of siblings, in its
-	// run SeenRun.
+	// Seen is the number of the last change that the sender has from the receiver's change
+	// log of siblings' states. SeenRun is the receiver's run that the change log belongs to.
 	Seen    uint64                `cbor:"10,keyasint,omitempty"`
 	SeenRun operation.Incarnation `cbor:"11,keyasint,omitempty"`
 	Digest  *Digest               `cbor:"12,keyasint,omitempty"`
-	// Uses are the shares of the servers that the sender wants to be told of; nil for all.
+	// Uses lists the shares of the servers about which the sender wants to be informed. Nil
+	// means all servers.
 	Uses    []subset.Share `cbor:"18,keyasint,omitempty"`
 	Updates *Updates       `cbor:"13,keyasint,omitempty"`
-	// Poison is what the sender has seen of servers that ended under requests.
+	// Poison reports the crashes of servers during requests that the sender has observed.
 	Poison *poison.Update `cbor:"14,keyasint,omitempty"`
-	// Spent is what the sender has admitted of late for teams that are limited.
+	// Spent is the usage that the sender has recently admitted for rate-limited teams.
 	Spent []allotment.Spent `cbor:"15,keyasint,omitempty"`
-	// Pressure is what the sender knows of what servers say of themselves.
+	// Pressure holds the server status reports that the sender knows: reported limits and
+	// reported drains.
 	Pressure *backpressure.Update `cbor:"16,keyasint,omitempty"`
-	// Evacuation is which zones are evacuated; nil if the sender never knew of any.
+	// Evacuation lists the evacuated zones. Nil means that the sender never knew of any.
 	Evacuation *Evacuation `cbor:"17,keyasint,omitempty"`
-	// Known, if not 0, is the incarnation under which the sender knows the
-	// receiver. A receiver that restarted with a lower one, since its clock was
-	// set back, takes a higher one.
+	// Known, if not 0, is the receiver's incarnation as the sender knows it. A receiver
+	// that restarted with a lower incarnation, because its clock was set back, adopts a
+	// higher one.
 	Known operation.Incarnation `cbor:"4,keyasint,omitempty"`
 }
 
-// EncodedLoads is loads in their encoded form.
+// EncodedLoads is a list of loads encoded as CBOR.
 type EncodedLoads = cbor.RawMessage
 
-// EncodeLoads returns the encoded form of loads.
+// EncodeLoads encodes loads.
 func EncodeLoads(loads []Load) (EncodedLoads, error) {
 	data, err := cbor.Marshal(loads)
 	return data, errors.Wrap(err, "encode loads")
 }
 
-// DecodeLoads reads the encoded form of loads.
+// DecodeLoads decodes the output of EncodeLoads.
 func DecodeLoads(data EncodedLoads) ([]Load, error) {
 	var loads []Load
 	err := cbor.Unmarshal(data, &loads)
 	return loads, errors.Wrap(err, "decode loads")
 }
 
-// Digest is what a hub knows beyond itself.
+// Digest is the information that a hub passes on about other instances.
 type Digest struct {
-	// Summed is set if Loads holds a part of a sum: of the hub's zone if Zone is set,
-	// else of all instances, the receiver included. Other servers' sums stay.
-	// The same sum goes to many, so it is encoded once; Echo is how long the receiver
-	// had run when it sent the heartbeat that is the last in the sum.
+	// Summed is set if Loads holds sums of loads for some of the servers. The sums cover
+	// the instances of the hub's zone if Zone is set, and otherwise all instances, including
+	// the receiver. The receiver keeps the sums of servers that are not in Loads. The same
+	// sums go to many receivers, so Loads is encoded once. Echo is the receiver's uptime when
+	// it sent the last of its heartbeats that the sums include.
 	Summed bool          `cbor:"1,keyasint,omitempty"`
 	Zone   bool          `cbor:"2,keyasint,omitempty"`
 	Loads  EncodedLoads  `cbor:"3,keyasint,omitempty"`
 	Echo   time.Duration `cbor:"8,keyasint,omitempty"`
-	// Observations are states of siblings. They continue the hub's account behind After, up
-	// to Upto; if that is 0, they stand alone.
+	// Observations are states of siblings. They are the changes of the hub's change log
+	// after number After up to number Upto. If Upto is 0, they are independent of it.
 	Observations []Observation `cbor:"4,keyasint,omitempty"`
 	After        uint64        `cbor:"5,keyasint,omitempty"`
 	Upto         uint64        `cbor:"6,keyasint,omitempty"`
-	// Teams is what the hub knows of teams that have spent something of late.
+	// Teams holds the balances and usage totals, as the hub knows them, of teams with recent
+	// usage.
 	Teams []allotment.Level `cbor:"9,keyasint,omitempty"`
-	// Instances is how many instances there are, as far as the hub knows.
+	// Instances is the number of instances, as far as the hub knows.
 	Instances int `cbor:"7,keyasint,omitempty"`
-	// Outgrown is set if the receiver should use other shares of the servers by now, and ask
-	// the hub for them.
+	// Outgrown is set if the receiver should now use other shares of the servers and request
+	// them from the hub.
 	Outgrown bool `cbor:"10,keyasint,omitempty"`
 }
 
@@ -121,34 +127,34 @@
 type Observation struct {
 	Info  member.Info  `cbor:"1,keyasint"`
 	State member.State `cbor:"2,keyasint"`
-	// Age is how long ago the state was observed first-hand.
+	// Age is the time since an instance observed the state directly.
 	Age time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// Updates are changes of the list of backend servers that lead from one position of the
-// platform's log to another.
+// Updates holds the changes of the list of backend servers between two positions of the
+// platform's log.
 type Updates struct {
 	From    oplog.Position    `cbor:"1,keyasint"`
 	To      oplog.Position    `cbor:"2,keyasint"`
 	Changes []registry.Change `cbor:"3,keyasint"`
-	// Age is how long ago the store answered with them.
+	// Age is the time since the store returned the changes.
 	Age time.Duration `cbor:"4,keyasint"`
-	// Of, if not 0, is the fingerprint of the subset of all servers whose changes these are.
+	// Of, if not 0, is the fingerprint of the subset of servers that the changes are limited to.
 	Of uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Evacuation says which availability zones' backend servers are to get nothing more.
+// Evacuation lists the availability zones whose backend servers must get no more requests.
 type Evacuation struct {
-	// Position is up to where the operators' log was read for it.
+	// Position is the position up to which the operators' log was read.
 	Position oplog.Position `cbor:"1,keyasint"`
-	// Zones are sorted.
+	// Zones is sorted.
 	Zones []string `cbor:"2,keyasint,omitempty"`
 }
 
-// Change is a server's change of role that is under way.
+// Change is a role change of a server that is in progress.
 type Change struct {
 	Server uint32 `cbor:"1,keyasint"`
-	// Left is how much longer it takes.
+	// Left is the time until the change is complete.
 	Left time.Duration `cbor:"2,keyasint"`
 }
 
@@ -162,16 +168,16 @@
 func Listen(address string) (*Socket, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, errors.Wrap(err, "parse the address for siblings")
+		return nil, errors.Wrap(err, "parse heartbeat listen address")
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for siblings")
+		return nil, errors.Wrap(err, "listen for heartbeats")
 	}
 	return &Socket{conn: conn}, nil
 }
 
-// Encode returns the datagram of a message.
+// Encode encodes a message as a datagram.
 func Encode(message Message) ([]byte, error) {
 	data, err := cbor.Marshal(message)
 	return data, errors.Wrap(err, "encode heartbeat")
@@ -181,14 +187,14 @@
 func (s *Socket) Send(address string, datagram []byte) error {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return errors.Wrap(err, "parse a sibling's address")
+		return errors.Wrap(err, "parse sibling address")
 	}
 	_, err = s.conn.WriteToUDPAddrPort(datagram, to)
 	return errors.Wrap(err, "send heartbeat")
 }
 
-// Receive hands each message to handle until ctx ends. Datagrams that are no
-// heartbeats are counted by bad and dropped.
+// Receive calls handle for each message until ctx is done. It drops datagrams that
+// cannot be decoded, and calls bad with the error of each and with read errors.
 func (s *Socket) Receive(ctx context.Context, handle func(Message), bad func(error)) error {
 	defer context.AfterFunc(ctx, func() { s.conn.Close() })()
 	buffer := make([]byte, maxDatagram)
