--- a/registry/model_test.go
+++ b/registry/model_test.go
@@ -11,18 +11,19 @@
 	"github.com/mastwheel/mastwheel/racedetector"
 )
 
-// A bounded search of every order in which a server starts again, leaves and writes, the
-// store comes back from an older copy, and an instance reads. It plays the registry's own
-// code against a small model of the store.
+// This file explores every order, up to a bounded length, of these steps: a server restarts,
+// leaves or writes, the store is restored from an older copy, and an instance reads. It runs
+// the real registry against a small model of the store.
 
-// modelStore is the store's list of one server: what its topic holds, by offset.
+// modelStore models the store's list of a single server. records holds the records of the
+// topic by offset.
 type modelStore struct {
 	era     uint64
 	records []Change
 	copies  [][]Change
 }
 
-// newest is the entry in the list; nil without one.
+// newest returns the current entry of the list, or nil.
 func (s *modelStore) newest() *Entry {
 	if len(s.records) == 0 {
 		return nil
@@ -32,41 +33,42 @@
 
 func (s *modelStore) end() oplog.Position { return oplog.At(s.era, uint64(len(s.records))) }
 
-// listWorld is one order of steps as far as it was played.
-type listWorld struct {
+// scenario is the state after some steps of one order.
+type scenario struct {
 	store    modelStore
 	registry *Registry
 	now      time.Time
-	// born is the server's run, and leaves is set once that has said so.
-	born   int64
-	leaves bool
-	// newestBorn is the latest run that the instance knew, leaving the runs that it knew to
-	// leave, and gone those that it knew to be gone, each with the era.
+	// born is the current run of the server. draining is set once the run is draining.
+	born     int64
+	draining bool
+	// newestBorn is the latest run that the instance has known. leaving holds the runs that
+	// it knew to be draining. goneIn maps the runs that it knew to be gone to the era in which
+	// it learned this.
 	newestBorn int64
 	leaving    map[int64]bool
-	gone       map[int64]uint64
-	// again is the era in which a run was read again as a change.
-	again map[int64]uint64
+	goneIn     map[int64]uint64
+	// rereadIn maps runs to the last era in which they were read as a change.
+	rereadIn map[int64]uint64
 }
 
 const modelServer = "a"
 
-func newListWorld() *listWorld {
-	w := &listWorld{
+func newScenario() *scenario {
+	w := &scenario{
 		store: modelStore{era: 1}, registry: New(DefaultConfig()), now: time.Unix(1000, 0), born: 1,
-		leaving: map[int64]bool{}, gone: map[int64]uint64{}, again: map[int64]uint64{},
+		leaving: map[int64]bool{}, goneIn: map[int64]uint64{}, rereadIn: map[int64]uint64{},
 	}
 	w.write(false)
-	w.readWhole()
+	w.readFullList()
 	return w
 }
 
-func (w *listWorld) write(draining bool) {
+func (w *scenario) write(draining bool) {
 	w.store.records = append(slices.Clone(w.store.records), Change{ID: modelServer, Entry: &Entry{ID: modelServer, Born: w.born, Draining: draining}})
 }
 
-// readWhole has the instance read the list as it is.
-func (w *listWorld) readWhole() {
+// readFullList makes the instance read the full list.
+func (w *scenario) readFullList() {
 	snapshot := Snapshot{Position: w.store.end()}
 	if entry := w.store.newest(); entry != nil {
 		snapshot.Entries = []Entry{*entry}
@@ -74,91 +76,92 @@
 	w.registry.Reset(snapshot, w.now)
 }
 
-// readOn has the instance read what is new; in another era that is the whole list.
-func (w *listWorld) readOn() {
+// readChanges makes the instance read new changes. In a new era it reads the full list.
+func (w *scenario) readChanges() {
 	from := w.registry.View().Position
 	if from.Era() != w.store.era || from.Offset() > uint64(len(w.store.records)) {
-		w.readWhole()
+		w.readFullList()
 		return
 	}
 	changes := w.store.records[from.Offset():]
 	for _, change := range changes {
 		if change.Entry != nil {
-			w.again[change.Entry.Born] = w.store.era
+			w.rereadIn[change.Entry.Born] = w.store.era
 		}
 	}
 	w.registry.Apply(changes, w.store.end(), w.now)
 }
 
-// listSteps are what can happen; a step that cannot happen now changes nothing. The second
-// of two of the same in a row would not either.
-var listSteps = []struct {
+// scenarioSteps holds the possible steps. A step that is impossible in the current state
+// changes nothing, and neither does a step that repeats the previous one.
+var scenarioSteps = []struct {
 	name string
-	do   func(w *listWorld)
+	do   func(w *scenario)
 }{
-	{"the server says that it leaves", func(w *listWorld) { w.leaves = true; w.write(true) }},
-	{"the server's entry is removed", func(w *listWorld) {
+	{"the server starts draining", func(w *scenario) { w.draining = true; w.write(true) }},
+	{"the server's entry is removed", func(w *scenario) {
 		w.store.records = append(slices.Clone(w.store.records), Change{ID: modelServer})
 	}},
-	{"the server starts again", func(w *listWorld) { w.born++; w.leaves = false; w.write(false) }},
-	{"the server's first write is carried out late", func(w *listWorld) {
+	{"the server restarts", func(w *scenario) { w.born++; w.draining = false; w.write(false) }},
+	{"the server's first write takes effect late", func(w *scenario) {
 		w.store.records = append(slices.Clone(w.store.records), Change{ID: modelServer, Entry: &Entry{ID: modelServer, Born: 1}})
 	}},
-	{"the store is copied", func(w *listWorld) { w.store.copies = [][]Change{w.store.records} }},
-	{"the store comes back from the copy", func(w *listWorld) {
+	{"the store is copied", func(w *scenario) { w.store.copies = [][]Change{w.store.records} }},
+	{"the store is restored from the copy", func(w *scenario) {
 		if len(w.store.copies) > 0 {
 			w.store.records = w.store.copies[0]
 			w.store.copies = nil
 			w.store.era++
 		}
 	}},
-	{"the instance reads on", (*listWorld).readOn},
-	{"three seconds pass", func(w *listWorld) { w.now = w.now.Add(3 * time.Second); w.registry.Tick(w.now) }},
+	{"the instance reads new changes", (*scenario).readChanges},
+	{"three seconds pass", func(w *scenario) { w.now = w.now.Add(3 * time.Second); w.registry.Tick(w.now) }},
 }
 
-// broken says which promise the instance's picture breaks.
-func (w *listWorld) broken() string {
+// violation returns the invariant that the instance's view violates, or "".
+func (w *scenario) violation() string {
 	server := w.registry.View().Find(modelServer)
 	era := w.registry.View().Position.Era()
 	if server == nil {
-		w.gone[w.newestBorn] = era
+		w.goneIn[w.newestBorn] = era
 		return ""
 	}
 	born := server.Born
-	departed, wasGone := w.gone[born]
+	departed, wasGone := w.goneIn[born]
 	switch {
 	case born < w.newestBorn:
 		return "an earlier run is listed again"
 	case w.leaving[born] && !server.Draining:
-		return "a run that leaves no longer does"
-	case wasGone && departed < era && w.again[born] < era:
-		return "a run that is gone is listed again for an older copy"
+		return "a draining run is no longer draining"
+	case wasGone && departed < era && w.rereadIn[born] < era:
+		return "a run that is gone is listed again because of an older copy"
 	}
 	w.newestBorn = born
 	w.leaving[born] = w.leaving[born] || server.Draining
-	delete(w.gone, born)
+	delete(w.goneIn, born)
 	return ""
 }
 
-// playList plays an order of steps, and says which promise it breaks.
-func playList(order []int) string {
-	w := newListWorld()
-	w.broken()
+// playSteps runs an order of steps and returns the first violation, or "".
+func playSteps(order []int) string {
+	w := newScenario()
+	w.violation()
 	for _, step := range order {
-		listSteps[step].do(w)
-		if broken := w.broken(); broken != "" {
+		scenarioSteps[step].do(w)
+		if broken := w.violation(); broken != "" {
 			return broken
 		}
 	}
 	return ""
 }
 
-// Whatever happens in which order, a run that has left or ended is not used again for an
-// older copy.
-func TestEveryOrderOfStepsKeepsWhatIsOver(t *testing.T) {
+// TestNoOrderOfStepsRevivesDepartedRuns checks that no order of steps makes an instance use a
+// run again that is gone, or treat a draining run as active, because the store was restored
+// from an older copy.
+func TestNoOrderOfStepsRevivesDepartedRuns(t *testing.T) {
 	depth := 7
 	if racedetector.On {
-		depth = 5 // One goroutine plays it all.
+		depth = 5 // The search runs in a single goroutine, so the race detector only slows it down.
 	}
 	orders := 0
 	var search func(order []int)
@@ -168,16 +171,16 @@
 		}
 		if len(order) == depth {
 			orders++
-			if broken := playList(order); broken != "" {
+			if broken := playSteps(order); broken != "" {
 				var names []string
 				for _, step := range order {
-					names = append(names, listSteps[step].name)
+					names = append(names, scenarioSteps[step].name)
 				}
 				t.Errorf("%s: %s", broken, strings.Join(names, ", "))
 			}
 			return
 		}
-		for step := range listSteps {
+		for step := range scenarioSteps {
 			if len(order) > 0 && order[len(order)-1] == step {
 				continue
 			}
--- a/registry/older.go
+++ b/registry/older.go
@@ -6,42 +6,46 @@
 	"github.com/mastwheel/mastwheel/oplog"
 )
 
-// The platform's store may come back from a copy that is some seconds old: what servers
-// wrote since is gone until they write it again. What was known of them before stays true:
-// a run that has ended, or that leaves, does so also while its entry says otherwise.
+// The platform's store may be restored from a copy that is some seconds old. Entries that
+// servers wrote after the copy was made are missing until the servers write them again. What
+// the registry already knows remains valid: a run that is gone or draining stays so even if
+// an older entry contradicts it.
 
-// departure is the end of a server's run, as it was read in an era of the store.
+// departure records that a run of a server is gone, and the era of the store in which this
+// was read.
 type departure struct {
-	id   string
-	born int64
-	at   time.Time
-	era  uint64
-	// leaving is set if it had said that it leaves.
-	leaving bool
+	id        string
+	born      int64
+	removedAt time.Time
+	era       uint64
+	// draining is set if the run was draining before.
+	draining bool
 }
 
-// depart notes that a run is gone. The caller holds the lock.
-func (r *Registry) depart(server Server, now time.Time) {
-	r.departed[server.Run()] = departure{id: server.ID, born: server.Born, at: now, era: r.view.Load().Position.Era(), leaving: server.Draining}
+// recordDeparture records that the server's run is gone. The caller holds the lock.
+func (r *Registry) recordDeparture(server Server, now time.Time) {
+	r.departed[server.Run()] = departure{id: server.ID, born: server.Born, removedAt: now, era: r.view.Load().Position.Era(), draining: server.Draining}
 }
 
-// corrected returns a list without what is known to be over. The caller holds the lock.
-func (r *Registry) corrected(snapshot Snapshot) Snapshot {
+// withoutStaleState returns the list without runs that were found to be gone in an earlier
+// era or that a later run has replaced. Runs that were draining stay draining. The caller
+// holds the lock.
+func (r *Registry) withoutStaleState(snapshot Snapshot) Snapshot {
 	era := snapshot.Position.Era()
 	entries := make([]Entry, 0, len(snapshot.Entries))
 	for _, entry := range snapshot.Entries {
 		gone, departed := r.departed[entry.Run()]
-		if (departed && gone.era < era) || r.earlierRun(entry) {
+		if (departed && gone.era < era) || r.isEarlierRun(entry) {
 			continue
 		}
-		entries = append(entries, r.stillLeaving(entry))
+		entries = append(entries, r.keepDraining(entry))
 	}
 	snapshot.Entries = entries
 	return snapshot
 }
 
-// earlierRun says whether a server has started again since the run of an entry.
-func (r *Registry) earlierRun(entry Entry) bool {
+// isEarlierRun reports whether a later run of the entry's server is known.
+func (r *Registry) isEarlierRun(entry Entry) bool {
 	if known, ok := r.servers[entry.ID]; ok {
 		return entry.Born < known.Born
 	}
@@ -53,15 +57,15 @@
 	return false
 }
 
-// stillLeaving returns an entry with what its run has said before.
-func (r *Registry) stillLeaving(entry Entry) Entry {
+// keepDraining returns the entry with Draining set if its run was draining before.
+func (r *Registry) keepDraining(entry Entry) Entry {
 	known, ok := r.servers[entry.ID]
-	entry.Draining = entry.Draining || (ok && known.Run() == entry.Run() && known.Draining) || r.departed[entry.Run()].leaving
+	entry.Draining = entry.Draining || (ok && known.Run() == entry.Run() && known.Draining) || r.departed[entry.Run()].draining
 	return entry
 }
 
-// list takes an entry for what its server is now.
-func (r *Registry) list(entry Entry, now time.Time) {
+// storeEntry makes an entry the current state of its server.
+func (r *Registry) storeEntry(entry Entry, now time.Time) {
 	delete(r.departed, entry.Run())
 	server := Server{Entry: entry}
 	if known := r.servers[entry.ID]; known.Entry == entry {
@@ -72,14 +76,14 @@
 	r.servers[entry.ID] = server
 }
 
-// take takes in an entry that was written at a position. In a later era than the first it
-// may be one that was written before, and comes again.
-func (r *Registry) take(entry Entry, position oplog.Position, now time.Time) {
+// applyEntry applies an entry that was read with changes up to a position. If the store has
+// eras, the entry may be an older one that reappeared when the store was restored.
+func (r *Registry) applyEntry(entry Entry, position oplog.Position, now time.Time) {
 	if position.Era() > 0 {
-		if r.earlierRun(entry) {
+		if r.isEarlierRun(entry) {
 			return
 		}
-		entry = r.stillLeaving(entry)
+		entry = r.keepDraining(entry)
 	}
-	r.list(entry, now)
+	r.storeEntry(entry, now)
 }
--- a/registry/older_test.go
+++ b/registry/older_test.go
@@ -7,11 +7,11 @@
 	"github.com/mastwheel/mastwheel/oplog"
 )
 
-func TestAnOlderListChangesNothingThatIsOver(t *testing.T) {
+func TestOlderListDoesNotReviveDepartedRuns(t *testing.T) {
 	r := New(DefaultConfig())
 	entry := func(id string, born int64, draining bool) Entry { return Entry{ID: id, Born: born, Draining: draining} }
 	old := Snapshot{Position: oplog.At(1, 10), Entries: []Entry{
-		entry("stays", 1, false), entry("leaves", 1, false), entry("left", 1, false), entry("again", 1, false), entry("lapses", 1, false),
+		entry("stays", 1, false), entry("leaves", 1, false), entry("left", 1, false), entry("again", 1, false), entry("expires", 1, false),
 	}}
 	r.Reset(old, start)
 	changes := []Change{
@@ -22,7 +22,7 @@
 		{ID: "came", Entry: &Entry{ID: "came", Born: 1}},
 	}
 	r.Apply(changes, oplog.At(1, 15), start.Add(time.Second))
-	// The store comes back from a copy of before, without "lapses", which writes again.
+	// The store is restored from a copy made before these changes.
 	now := start.Add(2 * time.Second)
 	older := old
 	older.Position = oplog.At(2, 10)
@@ -42,12 +42,13 @@
 	if again, came := r.View().Find("again"), r.View().Find("came"); again.Born != 2 || !again.Lapsed || !came.Lapsed {
 		t.Errorf("%+v %+v", again, came)
 	}
-	// A list that a sibling read a moment later says the same.
+	// A list that a sibling read a moment later leads to the same view.
 	older.Position = oplog.At(2, 11)
 	r.Reset(older, now.Add(100*time.Millisecond))
 	check("left", false, false)
 	check("leaves", true, true)
-	// What is written again counts; what is not is gone after its time.
+	// Entries that are written again are accepted. The others are dropped after the grace
+	// period.
 	r.Apply([]Change{
 		{ID: "came", Entry: &Entry{ID: "came", Born: 1}},
 		{ID: "again", Entry: &Entry{ID: "again", Born: 1}},
@@ -59,13 +60,14 @@
 	check("again", false, false)
 	check("leaves", true, true)
 	check("left", true, true)
-	// A run that starts since is another one.
+	// A run that starts later is a new run, which is not draining.
 	r.Apply([]Change{{ID: "leaves", Entry: &Entry{ID: "leaves", Born: 3}}}, oplog.At(2, 16), now.Add(4*time.Second))
 	check("leaves", true, false)
 }
 
-// Nothing changes for a store that tells no era.
-func TestWithoutErasAnEntryThatComesAgainCounts(t *testing.T) {
+// TestWithoutErasReappearingEntryIsAccepted checks that an entry that reappears is accepted
+// if the store reports no eras.
+func TestWithoutErasReappearingEntryIsAccepted(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Reset(Snapshot{Position: 10, Entries: []Entry{{ID: "a"}}}, start)
 	r.Apply([]Change{{ID: "a"}}, 11, start)
@@ -75,9 +77,9 @@
 	}
 }
 
-// A server started again, and its later run left, since the copy was made in which the first
-// is listed.
-func TestAnEarlierRunIsOverThoughTheLaterOneLeftToo(t *testing.T) {
+// TestEarlierRunStaysGoneAfterLaterRunLeft covers a server that restarted and then left after
+// a copy of the store was made. The copy still lists the first run, which must not be used.
+func TestEarlierRunStaysGoneAfterLaterRunLeft(t *testing.T) {
 	r := New(DefaultConfig())
 	first := Snapshot{Position: oplog.At(1, 10), Entries: []Entry{{ID: "a", Born: 1}}}
 	r.Reset(first, start)
@@ -89,13 +91,13 @@
 	}
 }
 
-// What is remembered of runs that are gone is bounded.
-func TestRunsThatAreGoneAreForgotten(t *testing.T) {
+// TestDeparturesAreForgotten checks that records of departed runs do not accumulate.
+func TestDeparturesAreForgotten(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Reset(Snapshot{Position: oplog.At(1, 1), Entries: []Entry{{ID: "a", Born: 1, Draining: true}}}, start)
 	r.Apply([]Change{{ID: "a"}}, oplog.At(1, 2), start)
 	r.Tick(start.Add(DefaultConfig().DepartedFor + time.Second))
 	if len(r.departed) != 0 {
-		t.Errorf("%d are remembered", len(r.departed))
+		t.Errorf("%d departures are kept, want none", len(r.departed))
 	}
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,6 +1,10 @@
-// Package registry holds what an instance believes of the backend servers that
-// have registered themselves with the platform. It does no I/O and reads no
-// clock: entries and changes come in with the time at which they were read.
+// Package registry holds an instance's view of the backend servers that have
+// registered themselves with the platform. It does no I/O and reads no clock.
+// Callers pass entries and changes with the time at which they were read.
+//
+// An entry expires when the platform's store drops it although its server still
+// runs. This can happen during an outage of the store. An expired server stays in
+// use for a grace period, in which it can write its entry again.
 package registry
 
 import (
@@ -14,9 +18,9 @@
 	"github.com/mastwheel/mastwheel/oplog"
 )
 
-// Entry is what a backend server says about itself.
+// Entry is a backend server's own description of itself.
 type Entry struct {
-	// ID names the server. One that starts again may keep it.
+	// ID identifies the server. A restarted server may keep its ID.
 	ID      string `cbor:"1,keyasint"`
 	Service string `cbor:"2,keyasint"`
 	// Address is "ip:port".
@@ -24,32 +28,34 @@
 	Zone    string `cbor:"4,keyasint"`
 	// Release is the version of the server's software.
 	Release string `cbor:"5,keyasint,omitempty"`
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that the server processes at once.
 	Slots int `cbor:"6,keyasint,omitempty"`
-	// Draining is set once it takes no new work.
+	// Draining is set once the server accepts no new work.
 	Draining bool `cbor:"7,keyasint,omitempty"`
 	// Role is table.RolePrefill or table.RoleDecode for a model engine, and
-	// empty for others.
+	// empty for other servers.
 	Role string `cbor:"8,keyasint,omitempty"`
-	// Weights is the version of the model's weights that it serves.
+	// Weights is the version of the model weights that the server uses.
 	Weights int `cbor:"9,keyasint,omitempty"`
-	// Born is when this run of the server started, in milliseconds since 1970 on
-	// its own clock; 0 for servers that do not say.
+	// Born is the start time of this run of the server's process, in milliseconds
+	// since 1970 by the server's clock. It is 0 if the server does not report it.
 	Born int64 `cbor:"10,keyasint,omitempty"`
-	// ColdMillis is for how much longer, as it wrote the entry, it bears few requests, in
-	// milliseconds.
+	// ColdMillis is the remaining time in milliseconds, when the server wrote the entry, in
+	// which it can process only few requests because it has just started.
 	ColdMillis int64 `cbor:"11,keyasint,omitempty"`
 }
 
 const (
-	// RunMark stands between a server's id and the start in the name of a run.
+	// RunMark separates the server's id from the start time in the name of a run.
 	RunMark = "@"
-	// runBase writes the start of a run with few digits.
+	// runBase is the number base of the start time in the name of a run. It keeps the
+	// name short.
 	runBase = 36
 )
 
-// Run names one run of the server. Whatever is believed of a run, or was given to
-// it, ends with it: a server that starts again knows nothing of before.
+// Run returns the name of this run of the server's process. Nothing known about a
+// run, and nothing assigned to it, carries over to the next run, because a
+// restarted server has lost its state.
 func (e *Entry) Run() string {
 	if e.Born == 0 {
 		return e.ID
@@ -60,67 +66,71 @@
 // Change is a new entry of a server, or its removal.
 type Change struct {
 	ID string `cbor:"1,keyasint"`
-	// Entry is nil when the server's entry was removed.
+	// Entry is nil if the server's entry was removed.
 	Entry *Entry `cbor:"2,keyasint,omitempty"`
-	// Unusable is set when the newest entry names no server that could be used.
-	// That is no lapse: the entry before it is not coming back.
+	// Unusable is set if the newest entry does not describe a usable server. The
+	// server is then dropped at once and not treated as expired, because its previous
+	// entry will not return.
 	Unusable bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Snapshot is a whole list, as read at one position of the platform's log.
+// Snapshot is the full list of servers at one position of the platform's log.
 type Snapshot struct {
 	Entries []Entry `cbor:"1,keyasint"`
-	// Position is the place in the log that comes next.
+	// Position is the position of the next change in the log.
 	Position oplog.Position `cbor:"2,keyasint"`
-	// Unusable lists the ids whose entry names no server that could be used.
+	// Unusable lists the ids whose entries do not describe a usable server.
 	Unusable []string `cbor:"3,keyasint,omitempty"`
 }
 
-// Config tunes what a removed entry means.
+// Config holds the rules for removed entries.
 type Config struct {
-	// LapseGrace is how long a server stays in use after its entry went while
-	// the platform's store was away: entries lapse then though their servers
-	// live, and come back within this time (source: the users' letter, "about
-	// two seconds of its return").
+	// LapseGrace is the time after the return of the platform's store for which a server
+	// with an expired entry stays in use. Entries expire during an outage of the store
+	// although their servers run. The requirements say that the servers write them again
+	// within about two seconds of the store's return. After a mass removal, as defined by
+	// ManyAtOnce, the time counts from the removal.
 	LapseGrace time.Duration
-	// ManyAtOnce is the share of all entries whose removal in one read is taken
-	// for a lapse even where the store was not seen to be away: planned work
-	// takes fewer servers away at a time that had not said they leave.
+	// ManyAtOnce is the fraction of all servers whose removal in one read is treated as
+	// expiry, even if no outage of the store was noticed. Servers that were draining are
+	// not counted as removed. Planned work removes fewer servers at a time without
+	// draining them first.
 	ManyAtOnce float64
-	// DepartedFor is how long it is remembered that a run of a server is gone: longer
-	// than an older copy, from which the store may come back, is old (source: the users'
-	// letter, some seconds).
+	// DepartedFor is the time for which the registry remembers that a run of a server is
+	// gone. It must exceed the age of a copy from which the store may be restored, which is
+	// some seconds according to the requirements.
 	DepartedFor time.Duration
 }
 
-// DefaultConfig follows the users' letter.
+// DefaultConfig returns the configuration that follows the requirements.
 func DefaultConfig() Config {
 	return Config{LapseGrace: 2 * time.Second, ManyAtOnce: 0.3, DepartedFor: 5 * time.Minute}
 }
 
-// Server is one backend server as this instance sees it.
+// Server is one backend server in the view of this instance.
 type Server struct {
 	Entry
-	// Lapsed is set while the entry is gone and may come back.
+	// Lapsed is set while the entry has expired and may return.
 	Lapsed bool
-	// Gone is when a lapsed server counts as gone.
+	// Gone is the time at which an expired server is dropped.
 	Gone time.Time
-	// ColdUntil is until when it bears few requests, by when its entry was read.
+	// ColdUntil is the end of the time in which the server can process only few requests.
+	// It is computed from the time at which the entry was read.
 	ColdUntil time.Time
 }
 
-// View is an immutable picture of all servers, sorted by id.
+// View is an immutable list of all known servers, sorted by id.
 type View struct {
 	Servers []Server
-	// Position is the place in the log up to which changes are in it.
+	// Position is the log position up to which the view includes all changes.
 	Position oplog.Position
-	// Read is when changes were last taken in.
+	// Read is the time at which changes were last applied.
 	Read time.Time
-	// Part is set if only some of the servers on the list are kept.
+	// Part is set if the view holds only a subset of the list.
 	Part bool
 }
 
-// Find returns the server of that id, or nil.
+// Find returns the server with the given id, or nil.
 func (v *View) Find(id string) *Server {
 	i, found := slices.BinarySearchFunc(v.Servers, id, func(s Server, id string) int {
 		if s.ID < id {
@@ -137,8 +147,8 @@
 	return &v.Servers[i]
 }
 
-// Snapshot returns what siblings need to hold the same belief. Servers that
-// have lapsed are left out: each instance gives them its own time.
+// Snapshot returns the list that siblings need to build the same view. Expired
+// servers are left out, because each instance applies its own grace period.
 func (v *View) Snapshot() Snapshot {
 	snapshot := Snapshot{Position: v.Position}
 	for _, server := range v.Servers {
@@ -149,21 +159,22 @@
 	return snapshot
 }
 
-// Registry is the belief itself. Writers hold a lock and swap a new View in;
-// readers load it without one.
+// Registry maintains the current View. Writers hold a lock and publish a new View
+// atomically. Readers load it without a lock.
 type Registry struct {
 	config Config
 
 	mu      sync.Mutex
 	servers map[string]Server
-	// returned is when the store last answered again after it had been away from
-	// all instances; zero when it never was.
-	returned time.Time
-	// lapsing is set while there may be lapsed servers.
-	lapsing bool
-	// keep says which entries are kept; nil keeps all.
+	// storeReturnedAt is the time at which the store last answered again after an outage for
+	// all instances, or was found to be restored from an older copy. It is zero if neither
+	// has happened.
+	storeReturnedAt time.Time
+	// hasExpired is set while there may be expired servers.
+	hasExpired bool
+	// keep selects the entries that the registry holds. Nil selects all.
 	keep func(*Entry) bool
-	// departed holds the runs that are gone for good, with when they went.
+	// departed holds the runs that are gone permanently, by the name of the run.
 	departed map[string]departure
 	view     atomic.Pointer[View]
 }
@@ -175,47 +186,50 @@
 	return r
 }
 
-// View returns the current picture.
+// View returns the current view.
 func (r *Registry) View() *View { return r.view.Load() }
 
-// StoreReturned notes when the platform's store answered again, after no instance
-// had an answer for so long that entries may have lapsed. That it turns a single
-// instance away is no reason for a lapse: the servers reach it.
+// StoreReturned records the time at which the platform's store answered again after
+// an outage in which no instance got an answer for so long that entries may have
+// expired. It must not be called when the store only rejected a single instance,
+// since the servers could reach the store then.
 func (r *Registry) StoreReturned(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.returned = at
+	r.storeReturnedAt = at
 }
 
-// Keep drops all servers but some, and takes no others in until the next Take.
+// Keep drops all servers whose entries do not satisfy keep, and ignores such entries
+// until the next Take.
 func (r *Registry) Keep(keep func(*Entry) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.keep = keep
-	r.drop()
+	r.dropFiltered()
 	view := r.view.Load()
 	r.publish(view.Position, view.Read)
 }
 
-// drop drops the servers that are not kept. They may live on: nothing of them is remembered.
-// The caller holds the lock.
-func (r *Registry) drop() {
+// dropFiltered drops the servers that r.keep does not select. They may still run, so they
+// are not recorded as departed. The caller holds the lock.
+func (r *Registry) dropFiltered() {
 	maps.DeleteFunc(r.servers, func(_ string, server Server) bool { return !r.keeps(&server.Entry) })
 }
 
-// keeps says whether an entry is kept. The caller holds the lock.
+// keeps reports whether r.keep selects an entry. The caller holds the lock.
 func (r *Registry) keeps(entry *Entry) bool { return r.keep == nil || r.keep(entry) }
 
-// Reset takes a whole list in, or what is kept of it. One that is older than what is known
-// is ignored.
+// Reset replaces the servers with those of a full list, limited to the entries that the
+// registry keeps. A list that is older than the current view is ignored.
 func (r *Registry) Reset(snapshot Snapshot, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reset(snapshot, now)
 }
 
-// Take is Reset for a list that holds all that is to be kept from now on; nil keeps all. It
-// returns whether the list counted.
+// Take is like Reset, but first changes which entries the registry keeps. The list must
+// hold all entries that satisfy keep. A nil keep selects all. Take reports whether the list
+// was applied.
 func (r *Registry) Take(snapshot Snapshot, keep func(*Entry) bool, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,23 +237,24 @@
 		return false
 	}
 	r.keep = keep
-	r.drop()
+	r.dropFiltered()
 	r.reset(snapshot, now)
 	return true
 }
 
-// reset takes a list in. The caller holds the lock.
+// reset applies a full list. The caller holds the lock.
 func (r *Registry) reset(snapshot Snapshot, now time.Time) {
 	before := r.view.Load().Position
 	if snapshot.Position < before {
 		return
 	}
 	if before > 0 && snapshot.Position.Era() > before.Era() {
-		// Entries that the older copy lacks come back as those that lapsed do.
-		r.returned = now
+		// The store was restored from an older copy. Servers whose entries the copy lacks
+		// write them again, as after expiry.
+		r.storeReturnedAt = now
 	}
 	if snapshot.Position.Era() > 0 {
-		snapshot = r.corrected(snapshot)
+		snapshot = r.withoutStaleState(snapshot)
 	}
 	for _, id := range snapshot.Unusable {
 		delete(r.servers, id)
@@ -250,7 +265,7 @@
 			continue
 		}
 		listed[entry.ID] = true
-		r.list(entry, now)
+		r.storeEntry(entry, now)
 	}
 	var removed []string
 	for id := range r.servers {
@@ -262,7 +277,7 @@
 	r.publish(snapshot.Position, now)
 }
 
-// Apply takes changes in that lead to a position of the log.
+// Apply applies the changes up to a position of the log.
 func (r *Registry) Apply(changes []Change, position oplog.Position, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -276,14 +291,14 @@
 		case change.Entry != nil && !r.keeps(change.Entry):
 			delete(r.servers, change.ID)
 		case change.Entry != nil:
-			r.take(*change.Entry, position, now)
+			r.applyEntry(*change.Entry, position, now)
 		case change.Unusable:
 			delete(r.servers, change.ID)
 		}
 	}
 	if len(changes) == 0 && position == r.view.Load().Position {
-		// An equal view would have everything that follows from it made anew, about
-		// once a second somewhere: that is how often the store is asked.
+		// Publishing an equal view would rebuild everything derived from it about once a
+		// second, which is how often the store is queried.
 		return
 	}
 	maps.DeleteFunc(gone, func(_ string, removed bool) bool { return !removed })
@@ -291,16 +306,16 @@
 	r.publish(position, now)
 }
 
-// remove drops servers, or gives them time when their entries may have lapsed
-// while the store was away.
+// remove drops servers. Servers whose entries may have expired during an outage of
+// the store get a grace period first.
 func (r *Registry) remove(ids []string, now time.Time) {
-	unsaid := 0
+	notDraining := 0
 	for _, id := range ids {
 		if server, known := r.servers[id]; known && !server.Draining && !server.Lapsed {
-			unsaid++
+			notDraining++
 		}
 	}
-	gone := r.lapsesUntil(unsaid, now)
+	gone := r.expiryDeadline(notDraining, now)
 	for _, id := range ids {
 		server, known := r.servers[id]
 		if !known || server.Lapsed {
@@ -308,47 +323,49 @@
 		}
 		if server.Draining || !now.Before(gone) {
 			delete(r.servers, id)
-			r.depart(server, now)
+			r.recordDeparture(server, now)
 			continue
 		}
 		server.Lapsed = true
-		r.lapsing = true
+		r.hasExpired = true
 		server.Gone = gone
 		r.servers[id] = server
 	}
 }
 
-// lapsesUntil is until when so many servers that are removed at once, and had not
-// said that they leave, may come back. Lapsed entries are back within a time of the store's return, whenever the
-// removal is read: counted from the removal, a server that left just after the
-// return would get work for longer than it may.
-func (r *Registry) lapsesUntil(removed int, now time.Time) time.Time {
+// expiryDeadline returns the end of the grace period for servers that were removed at
+// once without draining. removed is their number. Expired entries return within a fixed
+// time of the store's return, whenever their removal is read. If the grace period counted
+// from the removal, a server that left just after the store's return would get work for
+// too long.
+func (r *Registry) expiryDeadline(removed int, now time.Time) time.Time {
 	many := float64(removed) >= r.config.ManyAtOnce*float64(len(r.servers))
 	if many {
 		return now.Add(r.config.LapseGrace)
 	}
-	return r.returned.Add(r.config.LapseGrace)
+	return r.storeReturnedAt.Add(r.config.LapseGrace)
 }
 
-// Tick drops the lapsed servers whose time is up.
+// Tick drops the expired servers whose grace period has ended, and forgets departed runs
+// after Config.DepartedFor.
 func (r *Registry) Tick(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.departed, func(_ string, d departure) bool { return now.Sub(d.at) > r.config.DepartedFor })
-	if !r.lapsing {
+	maps.DeleteFunc(r.departed, func(_ string, d departure) bool { return now.Sub(d.removedAt) > r.config.DepartedFor })
+	if !r.hasExpired {
 		return
 	}
 	before := len(r.servers)
 	maps.DeleteFunc(r.servers, func(_ string, server Server) bool {
 		gone := server.Lapsed && !now.Before(server.Gone)
 		if gone {
-			r.depart(server, now)
+			r.recordDeparture(server, now)
 		}
 		return gone
 	})
-	r.lapsing = false
+	r.hasExpired = false
 	for _, server := range r.servers {
-		r.lapsing = r.lapsing || server.Lapsed
+		r.hasExpired = r.hasExpired || server.Lapsed
 	}
 	if len(r.servers) != before {
 		view := r.view.Load()
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_000, 0)
 
-func entries(count int) []Entry {
+func makeEntries(count int) []Entry {
 	var all []Entry
 	for i := range count {
 		all = append(all, Entry{ID: fmt.Sprintf("s%d", i), Service: "a", Address: "127.0.0.1:1"})
@@ -20,92 +20,94 @@
 	return all
 }
 
-func filled(count int) *Registry {
+func registryWith(count int) *Registry {
 	r := New(DefaultConfig())
-	r.Reset(Snapshot{Entries: entries(count), Position: 10}, start)
+	r.Reset(Snapshot{Entries: makeEntries(count), Position: 10}, start)
 	return r
 }
 
-func TestARemovedServerIsGoneAtOnce(t *testing.T) {
-	r := filled(10)
+func TestRemovedServerIsDroppedAtOnce(t *testing.T) {
+	r := registryWith(10)
 	r.Apply([]Change{{ID: "s3"}}, 11, start.Add(time.Second))
 	if r.View().Find("s3") != nil {
-		t.Fatal("still there")
+		t.Fatal("the removed server is still listed")
 	}
 }
 
-func TestALapsedServerHasItsTime(t *testing.T) {
-	r := filled(10)
+func TestExpiredServerIsKeptForGracePeriod(t *testing.T) {
+	r := registryWith(10)
 	back := start.Add(5 * time.Second)
 	r.StoreReturned(back)
 	r.Apply([]Change{{ID: "s3"}}, 11, back)
 	if found := r.View().Find("s3"); found == nil || !found.Lapsed {
-		t.Fatal("a server whose entry may have lapsed is gone at once")
+		t.Fatal("a server whose entry may have expired was dropped at once")
 	}
 	r.Tick(back.Add(1900 * time.Millisecond))
 	if r.View().Find("s3") == nil {
-		t.Fatal("gone before its time")
+		t.Fatal("the expired server was dropped before the end of its grace period")
 	}
 	r.Tick(back.Add(2 * time.Second))
 	if r.View().Find("s3") != nil {
-		t.Fatal("still there after its time")
+		t.Fatal("the expired server is still listed after its grace period")
 	}
 }
 
-// A server whose entry goes a second after the store's return may have left just
-// then; its time counts from the return.
-func TestTheTimeOfALapseCountsFromTheStoresReturn(t *testing.T) {
-	r := filled(10)
+// TestGracePeriodStartsAtStoreReturn covers a server whose entry is removed a second
+// after the store's return. It may have left just then, so its grace period counts
+// from the return and not from the removal.
+func TestGracePeriodStartsAtStoreReturn(t *testing.T) {
+	r := registryWith(10)
 	r.StoreReturned(start)
 	r.Apply([]Change{{ID: "s3"}}, 11, start.Add(time.Second))
 	if found := r.View().Find("s3"); found == nil || !found.Lapsed {
-		t.Fatal("a server whose entry may have lapsed is gone at once")
+		t.Fatal("a server whose entry may have expired was dropped at once")
 	}
 	r.Tick(start.Add(2 * time.Second))
 	if r.View().Find("s3") != nil {
-		t.Fatal("still in use two seconds after the store's return")
+		t.Fatal("the server is still in use two seconds after the store's return")
 	}
 	r.Apply([]Change{{ID: "s4"}}, 12, start.Add(2*time.Second))
 	if r.View().Find("s4") != nil {
-		t.Fatal("a removal after that time counts as a lapse")
+		t.Fatal("a removal after the grace period is treated as expiry")
 	}
 }
 
-func TestALapsedServerComesBack(t *testing.T) {
-	r := filled(10)
+func TestExpiredServerReturns(t *testing.T) {
+	r := registryWith(10)
 	r.StoreReturned(start)
 	r.Apply([]Change{{ID: "s3"}}, 11, start)
 	again := Entry{ID: "s3", Service: "a", Address: "127.0.0.1:1"}
 	r.Apply([]Change{{ID: "s3", Entry: &again}}, 12, start.Add(time.Second))
 	r.Tick(start.Add(time.Minute))
 	if found := r.View().Find("s3"); found == nil || found.Lapsed {
-		t.Fatal("an entry that came back is not believed")
+		t.Fatal("an entry that returned was not accepted")
 	}
 }
 
-func TestADrainingServerDoesNotLapse(t *testing.T) {
-	r := filled(10)
+func TestDrainingServerIsDroppedAtOnce(t *testing.T) {
+	r := registryWith(10)
 	draining := Entry{ID: "s3", Service: "a", Draining: true}
 	r.Apply([]Change{{ID: "s3", Entry: &draining}}, 11, start)
 	r.StoreReturned(start)
 	r.Apply([]Change{{ID: "s3"}}, 12, start)
 	if r.View().Find("s3") != nil {
-		t.Fatal("a server that was leaving is kept")
+		t.Fatal("a removed draining server is still listed")
 	}
 }
 
-func TestManyRemovalsAtOnceAreALapse(t *testing.T) {
-	r := filled(10)
+func TestManyRemovalsAtOnceCountAsExpiry(t *testing.T) {
+	r := registryWith(10)
 	r.Apply([]Change{{ID: "s1"}, {ID: "s2"}, {ID: "s3"}, {ID: "s4"}}, 14, start)
 	if found := r.View().Find("s1"); found == nil || !found.Lapsed {
-		t.Fatal("four of ten servers went at once and are gone")
+		t.Fatal("four of ten servers were removed at once and dropped without a grace period")
 	}
 }
 
-// Servers that had said they leave end together, and one that had not leaves just
-// then: nothing has lapsed, and it may be used for no two seconds more.
-func TestServersThatHadSaidTheyLeaveAreNoLapse(t *testing.T) {
-	r := filled(10)
+// TestRemovedDrainingServersDoNotCountAsExpiry covers several draining servers that
+// are removed together with one server that was not draining. This is no mass expiry,
+// so that server must be dropped at once, not two seconds later.
+func TestRemovedDrainingServersDoNotCountAsExpiry(t *testing.T) {
+	r := registryWith(10)
 	var leaving, gone []Change
 	for _, id := range []string{"s1", "s2", "s3"} {
 		leaving = append(leaving, Change{ID: id, Entry: &Entry{ID: id, Service: "a", Draining: true}})
@@ -114,22 +116,22 @@
 	r.Apply(leaving, 13, start)
 	r.Apply(append(gone, Change{ID: "s4"}), 17, start.Add(3*time.Second))
 	if found := r.View().Find("s4"); found != nil {
-		t.Fatalf("still used: %+v", found)
+		t.Fatalf("the removed server is still in use: %+v", found)
 	}
 }
 
-func TestAnOlderListChangesNothing(t *testing.T) {
-	r := filled(10)
-	r.Reset(Snapshot{Entries: entries(2), Position: 9}, start)
+func TestOlderListIsIgnored(t *testing.T) {
+	r := registryWith(10)
+	r.Reset(Snapshot{Entries: makeEntries(2), Position: 9}, start)
 	r.Apply([]Change{{ID: "s3"}}, 9, start)
 	if len(r.View().Servers) != 10 {
 		t.Fatalf("%d servers", len(r.View().Servers))
 	}
 }
 
-// TestFollowingEqualsReading: whoever follows all changes believes the same as
-// whoever reads the whole list at the end.
-func TestFollowingEqualsReading(t *testing.T) {
+// TestChangesMatchFullList checks that applying all changes leads to the same view as
+// reading the full list at the end.
+func TestChangesMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		follower, truth := New(DefaultConfig()), make(map[string]Entry)
 		now, position := start, oplog.Position(1)
@@ -152,18 +154,18 @@
 		}
 		follower.Tick(now.Add(time.Hour))
 		if len(follower.View().Servers) != len(truth) {
-			t.Fatalf("%d servers, the list has %d", len(follower.View().Servers), len(truth))
+			t.Fatalf("%d servers in the view, %d in the list", len(follower.View().Servers), len(truth))
 		}
 		for _, server := range follower.View().Servers {
 			if truth[server.ID] != server.Entry {
-				t.Fatalf("%+v, the list has %+v", server.Entry, truth[server.ID])
+				t.Fatalf("view has %+v, list has %+v", server.Entry, truth[server.ID])
 			}
 		}
 	})
 }
 
-func TestAServerWhoseEntryCannotBeUsedIsGoneAtOnce(t *testing.T) {
-	r := filled(10)
+func TestServerWithUnusableEntryIsDroppedAtOnce(t *testing.T) {
+	r := registryWith(10)
 	r.StoreReturned(start)
 	r.Apply([]Change{{ID: "s3", Unusable: true}}, 11, start)
 	snapshot := r.View().Snapshot()
@@ -174,7 +176,7 @@
 	}
 }
 
-func TestAServerThatStartsAgainIsAnotherRun(t *testing.T) {
+func TestRestartedServerIsAnotherRun(t *testing.T) {
 	first := Entry{ID: "s3", Born: 1764720000123}
 	second := Entry{ID: "s3", Born: 1764720000124}
 	if first.Run() == second.Run() || first.Run() != (&Entry{ID: "s3", Born: first.Born, Draining: true}).Run() {
@@ -182,8 +184,8 @@
 	}
 }
 
-func TestAnAnswerWithoutUpdatesChangesNothing(t *testing.T) {
-	r := filled(10)
+func TestAnswerWithoutChangesPublishesNothing(t *testing.T) {
+	r := registryWith(10)
 	before := r.View()
 	r.Apply(nil, before.Position, start.Add(time.Second))
 	if r.View() != before {
@@ -191,7 +193,7 @@
 	}
 }
 
-func TestColdServersByWhenTheirEntriesWereRead(t *testing.T) {
+func TestColdUntilCountsFromReadTime(t *testing.T) {
 	r := New(DefaultConfig())
 	entry := Entry{ID: "a", Born: 1, ColdMillis: 3000}
 	until := func() time.Duration { return r.View().Find("a").ColdUntil.Sub(start) }
@@ -199,7 +201,7 @@
 	if until() != 3*time.Second {
 		t.Errorf("cold for %v", until())
 	}
-	// The same entry again is no news, as a sibling's list or after it had lapsed.
+	// The same entry changes nothing when it comes again, in a sibling's list or after expiry.
 	r.Reset(Snapshot{Position: 2, Entries: []Entry{entry}}, start.Add(time.Second))
 	if until() != 3*time.Second {
 		t.Errorf("cold for %v", until())
@@ -212,18 +214,18 @@
 	entry.ColdMillis = 0
 	r.Apply([]Change{{ID: "a", Entry: &entry}}, 4, start.Add(2*time.Second))
 	if !r.View().Find("a").ColdUntil.IsZero() {
-		t.Error("still cold")
+		t.Error("the server is still cold")
 	}
 }
 
-// even keeps the servers with an even last digit.
-func even(entry *Entry) bool { return (entry.ID[len(entry.ID)-1]-'0')%2 == 0 }
+// evenID selects the servers whose id ends in an even digit.
+func evenID(entry *Entry) bool { return (entry.ID[len(entry.ID)-1]-'0')%2 == 0 }
 
-func TestOnlyWhatIsKeptIsTakenIn(t *testing.T) {
-	r := filled(10)
-	r.Keep(even)
+func TestFilterLimitsEntries(t *testing.T) {
+	r := registryWith(10)
+	r.Keep(evenID)
 	if n := len(r.View().Servers); n != 5 || r.View().Find("s3") != nil {
-		t.Fatalf("%d are kept", n)
+		t.Fatalf("%d servers are kept, want the 5 with even ids", n)
 	}
 	position := r.View().Position
 	odd, more := Entry{ID: "s3"}, Entry{ID: "t2"}
@@ -231,28 +233,29 @@
 	if r.View().Find("s3") != nil || r.View().Find("t2") == nil || r.View().Find("s4") != nil || r.View().Position != position+4 {
 		t.Errorf("%+v", r.View())
 	}
-	// A server that is not kept any more, since its entry has changed, is not there.
+	// A server whose changed entry is no longer selected is dropped.
 	r.Keep(func(entry *Entry) bool { return entry.Zone == "" })
 	moved := Entry{ID: "s2", Zone: "far"}
 	r.Apply([]Change{{ID: "s2", Entry: &moved}}, position+5, start)
 	if r.View().Find("s2") != nil {
-		t.Error("kept")
+		t.Error("a server that the filter excludes is still listed")
 	}
-	whole := Snapshot{Entries: entries(10), Position: position + 5}
+	whole := Snapshot{Entries: makeEntries(10), Position: position + 5}
 	if !r.Take(whole, nil, start) || len(r.View().Servers) != 10 {
-		t.Errorf("%d after all were taken in", len(r.View().Servers))
+		t.Errorf("%d servers after the filter was removed", len(r.View().Servers))
 	}
 	whole.Position = position
-	if r.Take(whole, even, start) || len(r.View().Servers) != 10 {
-		t.Error("an older list changed what is kept")
+	if r.Take(whole, evenID, start) || len(r.View().Servers) != 10 {
+		t.Error("an older list changed the filter")
 	}
 }
 
-// What was dropped for not being kept has not left: it counts as before once it is kept again.
-func TestWhatIsNotKeptHasNotLeft(t *testing.T) {
+// TestFilteredServerIsNotDeparted checks that a server dropped by the filter is not treated
+// as departed. It is listed again, and not as expired, once the filter selects it.
+func TestFilteredServerIsNotDeparted(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Reset(Snapshot{Position: oplog.At(1, 1), Entries: []Entry{{ID: "s1", Born: 1}, {ID: "s2", Born: 1}}}, start)
-	r.Keep(even)
+	r.Keep(evenID)
 	r.Take(Snapshot{Position: oplog.At(2, 1), Entries: []Entry{{ID: "s1", Born: 1}, {ID: "s2", Born: 1}}}, nil, start)
 	if server := r.View().Find("s1"); server == nil || server.Lapsed {
 		t.Errorf("%+v", server)
