--- a/backpressure/bench_test.go
+++ b/backpressure/bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// BenchmarkLook is what a choice costs for each server, on the path of a request.
+// BenchmarkLook measures the check of one server, which is on the path of each request.
 func BenchmarkLook(b *testing.B) {
 	now := time.Now()
-	for name, said := range map[string]Statement{"calm": silent, "limited": named(5)} {
+	for name, report := range map[string]Statement{"no limit": noLimit, "limited": limitReport(5)} {
 		b.Run(name, func(b *testing.B) {
-			server := alone().Server("s")
-			server.Heard(said, now, now)
+			server := singleInstance().Server("s")
+			server.Heard(report, now, now)
 			for b.Loop() {
 				server.Look(PlainWork, now)
 			}
@@ -20,8 +20,8 @@
 	}
 }
 
-// BenchmarkPart is what a change of the instances costs for each limited server.
-func BenchmarkPart(b *testing.B) {
+// BenchmarkShare measures the cost of a change of the instances for each limited server.
+func BenchmarkShare(b *testing.B) {
 	for _, size := range []int{8, 60, 300, 1400} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			instances := &Instances{Self: "i0"}
@@ -29,7 +29,7 @@
 				instances.Taking = append(instances.Taking, fmt.Sprint("i", i))
 			}
 			for b.Loop() {
-				instances.part(7, 5, instances.sendersFor(5))
+				instances.share(7, 5, instances.sendersFor(5))
 			}
 		})
 	}
--- a/backpressure/cold.go
+++ b/backpressure/cold.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// cold is what a server that has just started bears until it is warm: like a rate limit, but
-// the list of servers tells it, and its end is known.
+// cold is the rate that a server which has just started can handle until it is warm. It works
+// like a rate limit, but it comes from the list of servers and its end is known.
 type cold struct {
-	// rate is in requests a second, from all instances together, and senders is how many
-	// of them share it.
+	// rate is in requests a second, from all instances together. senders is the number of
+	// instances that share it.
 	rate      float64
 	senders   int
 	until     time.Time
 	allowance allowance
 }
 
-// Cold notes that a server bears some requests a second until it is warm, from all instances
-// together; most is how many it may get in any one second.
+// Cold sets the rate, in requests a second from all instances together, that a server can
+// handle until it is warm. most is the number of requests that it may get in any one second.
 func (s *Server) Cold(rate, most float64, until time.Time, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !now.Before(s.cold.until) {
-		s.cold.allowance.begin(s.tracker.random(), now)
+		s.cold.allowance.reset(s.tracker.random(), now)
 	}
-	// Each of those that share the rate may send a burst at once.
+	// Each instance that shares the rate may send a burst at once.
 	s.cold.rate, s.cold.until, s.cold.senders = rate, until, max(int((most-rate)/burst), 1)
-	s.bounded.Store(true)
-	s.tracker.holds.Store(true)
+	s.wasCold.Store(true)
+	s.tracker.restricted.Store(true)
 }
 
-// IsCold says whether the server bears few requests.
+// IsCold reports whether the server is not warm yet.
 func (s *Server) IsCold(now time.Time) bool {
-	if s == nil || !s.bounded.Load() {
+	if s == nil || !s.wasCold.Load() {
 		return false
 	}
 	s.mu.Lock()
@@ -37,38 +37,38 @@
 	return now.Before(s.cold.until)
 }
 
-// settleCold brings the allowance of a cold server up to date, and says whether it is cold.
-// The caller holds the lock.
-func (s *Server) settleCold(now time.Time) bool {
+// refillCold brings the allowance of a cold server up to date, and reports whether the server
+// is cold. The caller holds the lock.
+func (s *Server) refillCold(now time.Time) bool {
 	if !now.Before(s.cold.until) {
 		return false
 	}
-	s.cold.allowance.settle(s.id, s.cold.rate, s.cold.senders, s.tracker.instances.Load(), now)
+	s.cold.allowance.refill(s.id, s.cold.rate, s.cold.senders, s.tracker.instances.Load(), now)
 	return true
 }
 
-// spendCold notes that so many calls are sent. The caller holds the lock.
-func (s *Server) spendCold(calls float64, now time.Time) {
-	if calls > 0 && s.settleCold(now) {
-		s.cold.allowance.level = max(s.cold.allowance.level-calls, -burst)
+// consumeCold counts calls that are sent. The caller holds the lock.
+func (s *Server) consumeCold(calls float64, now time.Time) {
+	if calls > 0 && s.refillCold(now) {
+		s.cold.allowance.balance = max(s.cold.allowance.balance-calls, -burst)
 	}
 }
 
-// coldHoldsBack says whether a cold server is not to get so many calls now. The caller holds
-// the lock.
-func (s *Server) coldHoldsBack(calls float64, now time.Time) bool {
-	return calls > 0 && s.settleCold(now) && s.cold.allowance.level < calls
+// exceedsColdRate reports whether the server is cold and its rate leaves no room for calls
+// now. The caller holds the lock.
+func (s *Server) exceedsColdRate(calls float64, now time.Time) bool {
+	return calls > 0 && s.refillCold(now) && s.cold.allowance.balance < calls
 }
 
-// coldRoomIn is how long it takes until a cold server may get so many calls from here, or is
-// warm. The caller holds the lock.
-func (s *Server) coldRoomIn(calls float64, now time.Time) time.Duration {
-	if calls == 0 || !s.settleCold(now) {
+// coldDelay returns how long it takes until a cold server may get calls from this instance, or
+// is warm. The caller holds the lock.
+func (s *Server) coldDelay(calls float64, now time.Time) time.Duration {
+	if calls == 0 || !s.refillCold(now) {
 		return 0
 	}
 	warm, a := s.cold.until.Sub(now), &s.cold.allowance
-	if a.part == 0 {
+	if a.share == 0 {
 		return warm
 	}
-	return min(seconds((calls-a.level)/a.part), warm)
+	return min(cappedSeconds((calls-a.balance)/a.share), warm)
 }
--- a/backpressure/cold_test.go
+++ b/backpressure/cold_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// coldRates are requests a second that a cold server bears, and coldOverage and coldSlack
-// what it may get beyond that in any second (source: the users' rules).
+// coldRates are rates in requests a second that a cold server can handle. coldOverage and
+// coldSlack give what it may get beyond the rate in any second (source: the users' rules).
 var coldRates = []float64{0.5, 3, 29, 200}
 
 const (
@@ -16,9 +16,9 @@
 	coldSlack   = 5.0
 )
 
-// Instances that all send to a cold server as much as they may stay within what it bears in
-// any second, and it gets that; once it is warm they send what they like.
-func TestAColdServerGetsWhatItBears(t *testing.T) {
+// Instances that all send as much as they may to a cold server must stay within its rate in
+// any second, and the server must get that rate. Once it is warm there is no limit.
+func TestColdServerGetsItsRate(t *testing.T) {
 	for _, size := range []int{1, 8, 65, 300} {
 		for _, rate := range coldRates {
 			t.Run(fmt.Sprint(size, " ", rate), func(t *testing.T) {
@@ -36,21 +36,21 @@
 						}
 					}
 				}
-				if busiest := busiestSpan(sent, time.Second); float64(busiest) > most {
-					t.Errorf("%d in a second, %v allowed", busiest, most)
+				if busiest := maxInSpan(sent, time.Second); float64(busiest) > most {
+					t.Errorf("%d requests in a second, allowed: %v", busiest, most)
 				}
 				if float64(len(sent)) < 0.8*rate*10 {
-					t.Errorf("%d in 10 s, it bears %v a second", len(sent), rate)
+					t.Errorf("%d requests in 10 s, rate: %v a second", len(sent), rate)
 				}
 				if servers[0].IsCold(warm) || servers[0].Send(PlainWork, warm) != Clear || servers[0].RoomIn(PlainWork, warm) != 0 {
-					t.Error("held back once it is warm")
+					t.Error("requests are withheld from a warm server")
 				}
 			})
 		}
 	}
 }
 
-// coldServers is one server as so many instances know it.
+// coldServers returns one server as known by each of size instances.
 func coldServers(size int, rate, most float64) []*Server {
 	var taking []string
 	for i := range size {
@@ -65,8 +65,8 @@
 	return servers
 }
 
-// busiestSpan is the most of some moments, in their order, that lie in a span.
-func busiestSpan(moments []time.Time, span time.Duration) int {
+// maxInSpan returns the largest number of sorted moments that lie within a span.
+func maxInSpan(moments []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i, moment := range moments {
 		for moment.Sub(moments[first]) >= span {
@@ -77,10 +77,10 @@
 	return most
 }
 
-func TestAColdServerMaySayThatItIsLimitedToo(t *testing.T) {
-	server, now := alone().Server("s"), time.Now()
+func TestColdServerMayReportLimit(t *testing.T) {
+	server, now := singleInstance().Server("s"), time.Now()
 	server.Cold(100, 155, now.Add(time.Minute), now)
-	server.Heard(named(1), now, now)
+	server.Heard(limitReport(1), now, now)
 	sent := 0
 	for i := range 1000 {
 		if server.Send(PlainWork, now.Add(time.Duration(i)*10*time.Millisecond)) == Clear {
@@ -88,12 +88,12 @@
 		}
 	}
 	if sent > 12 {
-		t.Errorf("%d in 10 s, though it is limited to 1 a second", sent)
+		t.Errorf("%d requests in 10 s, limit: 1 a second", sent)
 	}
 	if server.tracker.Limited() != 1 || server.tracker.Cold(now) != 1 {
-		t.Error("not counted")
+		t.Error("server is not counted as limited and as cold")
 	}
 	if updates := server.tracker.Whole(now); len(updates) != 1 || len(updates[0].Limits) != 1 {
-		t.Errorf("siblings are told %+v", updates)
+		t.Errorf("updates for siblings: %+v", updates)
 	}
 }
--- a/backpressure/drain.go
+++ b/backpressure/drain.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// drain is whether a run of a server has said that it leaves. It does not take that back:
-// whatever serves later under its name is another run.
+// drain is whether a run of a server has reported that it is draining. A drain does not end:
+// the process that serves later under the same name is another run.
 type drain struct {
 	leaving bool
-	// at is when it said so first, and freshUntil until when others are sent it with each
-	// message.
+	// at is when the server first reported it. freshUntil is until when it is sent to siblings
+	// with each message.
 	at         time.Time
 	freshUntil time.Time
 }
 
-// drainKept is how long siblings are sent that a server leaves: longer than any takes to do
-// so (source: the users' protocol, many seconds at times).
-const drainKept = time.Hour
+// drainSentFor is how long a drain is sent to siblings. It is longer than any server takes to
+// drain (source: the users' protocol, many seconds at times).
+const drainSentFor = time.Hour
 
-// isTold says whether siblings are told.
-func (d *drain) isTold(now time.Time) bool { return d.leaving && now.Sub(d.at) < drainKept }
+// shouldSend reports whether the drain is sent to siblings.
+func (d *drain) shouldSend(now time.Time) bool { return d.leaving && now.Sub(d.at) < drainSentFor }
 
-// begin notes that the server leaves, and says whether that is new.
-func (d *drain) begin(at, freshUntil time.Time) (isNew bool) {
+// start notes that the server is draining, and reports whether that is new.
+func (d *drain) start(at, freshUntil time.Time) (isNew bool) {
 	if d.leaving {
 		return false
 	}
--- a/backpressure/limit.go
+++ b/backpressure/limit.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// limit is the rate limit that a server has named, or the end of one.
+// limit is the rate limit that a server has reported, or the end of one.
 type limit struct {
 	named bool
 	// rate is in requests a second, from all instances together.
 	rate float64
-	// kinds are the kinds of calls in whose answers the server has named it, and at is when
-	// it last did.
+	// kinds are the kinds of calls in whose answers the server has reported the limit. at is
+	// when it last did.
 	kinds Kinds
 	at    time.Time
-	// observation names that answer among those that any instance has had: whoever repeats
-	// it makes it no newer.
+	// observation identifies the answer that reported the limit among the answers of all
+	// instances. A sibling that repeats the report makes it no newer.
 	observation uint64
-	// freshUntil is until when others are sent it with each message.
+	// freshUntil is until when the limit is sent to siblings with each message.
 	freshUntil time.Time
 }
 
-// String says what the limit is, for the log.
+// String describes the limit for the log.
 func (l *limit) String() string {
 	if !l.named {
 		return "not limited"
@@ -30,146 +30,150 @@
 	return fmt.Sprintf("limited to %.3g/s", l.rate)
 }
 
-// noticed is the part by which a limit must change for others to be sent it at once.
-const noticed = 0.1
+// significantChange is the fraction by which a limit must change for siblings to be sent it at
+// once.
+const significantChange = 0.1
 
-// differs says whether a limit differs from the one before so that it should be noticed.
-func (l *limit) differs(before *limit) bool {
-	return l.named != before.named || math.Abs(l.rate-before.rate) > noticed*before.rate
+// differsSignificantly reports whether the limit differs enough from the previous one to be
+// logged and sent at once.
+func (l *limit) differsSignificantly(before *limit) bool {
+	return l.named != before.named || math.Abs(l.rate-before.rate) > significantChange*before.rate
 }
 
 const (
 	// burst is how many calls an instance may send a limited server at once: a generation
 	// takes two, one to reserve memory and one to run.
 	burst = 2
-	// staleAtLeast and staleAtMost bound the silence after which any instance may send a
-	// limited server a request, to hear whether it still is: those that may send there may
-	// have nothing to send, and a limit of nothing would never end.
-	staleAtLeast = 2 * time.Second
-	staleAtMost  = 10 * time.Second
-	// staleCalls is how many calls the server should have had in that time.
+	// minStaleAfter and maxStaleAfter bound the time without a report after which any instance
+	// may send a limited server a request to learn whether it still is limited. The instances
+	// with a share may have nothing to send, and a limit of 0 would never end.
+	minStaleAfter = 2 * time.Second
+	maxStaleAfter = 10 * time.Second
+	// staleCalls is how many calls the server should have received in that time.
 	staleCalls = 2
-	// probeSpread is the time in which the chance that an instance sends such a request
-	// doubles: one of all should.
-	probeSpread = time.Second
-	// probeFor is how long one that was drawn may take until it is sent.
-	probeFor = 200 * time.Millisecond
+	// probeDoublingTime is the time in which the probability that an instance sends such a
+	// request doubles. On average one of all instances should send it.
+	probeDoublingTime = time.Second
+	// probeWindow is how long an instance that was drawn may take to send the request.
+	probeWindow = 200 * time.Millisecond
 )
 
-// allowance is what this instance may send a limited server.
+// allowance is the token bucket of the calls that this instance may send a limited server.
 type allowance struct {
-	// part is in calls a second, and level what is left at the time at, in calls.
-	part  float64
-	level float64
-	at    time.Time
-	// of and instances are what the part was made of.
-	of        float64
+	// share is the refill rate in calls a second. balance is the number of calls left at the
+	// time at.
+	share   float64
+	balance float64
+	at      time.Time
+	// limitRate and instances are the inputs from which share was computed.
+	limitRate float64
 	instances *Instances
-	// probed is when this instance last drew that it is the one to ask, and probeUntil
-	// until when it may.
-	probed     time.Time
+	// lastProbe is when this instance was last drawn to send a probe, and probeUntil is until
+	// when it may send it.
+	lastProbe  time.Time
 	probeUntil time.Time
 }
 
-// settle brings the allowance up to date. The caller holds the lock.
-func (s *Server) settle(now time.Time) {
+// refill brings the allowance up to date. The caller holds the lock.
+func (s *Server) refill(now time.Time) {
 	instances := s.tracker.instances.Load()
-	s.allowance.settle(s.id, s.limit.rate, instances.sendersFor(s.limit.rate), instances, now)
+	s.allowance.refill(s.id, s.limit.rate, instances.sendersFor(s.limit.rate), instances, now)
 }
 
-// settle brings an allowance up to date that so many instances share.
-func (a *allowance) settle(server ID, rate float64, senders int, instances *Instances, now time.Time) {
+// refill brings the allowance up to date. senders is the number of instances that share the
+// rate.
+func (a *allowance) refill(server ID, rate float64, senders int, instances *Instances, now time.Time) {
 	if passed := now.Sub(a.at); passed > 0 {
-		a.level = min(a.level+a.part*passed.Seconds(), burst)
+		a.balance = min(a.balance+a.share*passed.Seconds(), burst)
 		a.at = now
 	}
-	if a.instances != instances || a.of != rate {
-		a.instances, a.of = instances, rate
-		a.part = instances.part(server, rate, senders)
+	if a.instances != instances || a.limitRate != rate {
+		a.instances, a.limitRate = instances, rate
+		a.share = instances.share(server, rate, senders)
 	}
-	if a.part == 0 {
-		// What was left is for those to use whose part it is now.
-		a.level = min(a.level, 0)
+	if a.share == 0 {
+		// The rest of the balance belongs to the instances that have the share now.
+		a.balance = min(a.balance, 0)
 	}
 }
 
-// begin gives the allowance of a server that begins to name a limit a part of a call, drawn
-// at random: all that may send there should not do so at once.
-func (a *allowance) begin(random float64, now time.Time) {
-	*a = allowance{level: random, at: now}
+// reset starts the allowance of a server that has just become limited with a random fraction
+// of a call, so that the instances with a share do not all send at once.
+func (a *allowance) reset(random float64, now time.Time) {
+	*a = allowance{balance: random, at: now}
 }
 
-// holdsBack says whether the limit leaves no room for so many calls now. The caller holds
-// the lock.
-func (s *Server) holdsBack(calls float64, now time.Time) bool {
+// exceedsLimit reports whether the limit leaves no room for calls now. The caller holds the
+// lock.
+func (s *Server) exceedsLimit(calls float64, now time.Time) bool {
 	if !s.limit.named || calls == 0 {
 		return false
 	}
-	s.settle(now)
-	return s.allowance.level < calls && !s.mayProbe(now)
+	s.refill(now)
+	return s.allowance.balance < calls && !s.mayProbe(now)
 }
 
-// mayProbe says whether this instance is to ask a limited server that nobody has heard for
-// long. The caller holds the lock.
+// mayProbe reports whether this instance should send a request to a limited server from which
+// no instance has received a report for a long time. The caller holds the lock.
 func (s *Server) mayProbe(now time.Time) bool {
 	a := &s.allowance
 	if now.Before(a.probeUntil) {
 		return true
 	}
-	// Others whom this instance does not hear may have asked meanwhile.
-	stale := time.Duration(float64(s.staleAfter()) / a.instances.heard())
-	over := now.Sub(s.limit.at) - stale
-	if over < 0 || now.Sub(a.probed) < stale {
+	// Instances that this instance cannot reach may have sent requests meanwhile.
+	stale := time.Duration(float64(s.staleAfter()) / a.instances.reachable())
+	overdue := now.Sub(s.limit.at) - stale
+	if overdue < 0 || now.Sub(a.lastProbe) < stale {
 		return false
 	}
-	chance := math.Exp2(over.Seconds()/probeSpread.Seconds()) / float64(a.instances.known())
+	chance := math.Exp2(overdue.Seconds()/probeDoublingTime.Seconds()) / float64(a.instances.total())
 	if s.tracker.random() >= chance {
 		return false
 	}
-	a.probed, a.probeUntil = now, now.Add(probeFor)
+	a.lastProbe, a.probeUntil = now, now.Add(probeWindow)
 	return true
 }
 
-// staleAfter is the silence after which the limit may no longer hold. The caller holds the
-// lock.
+// staleAfter returns the time without a report after which the limit may no longer apply. The
+// caller holds the lock.
 func (s *Server) staleAfter() time.Duration {
 	if s.limit.rate <= 0 {
-		return staleAtMost
+		return maxStaleAfter
 	}
-	expected := time.Duration(min(staleCalls/s.limit.rate, staleAtMost.Seconds()) * float64(time.Second))
-	return max(expected, staleAtLeast)
+	expected := time.Duration(min(staleCalls/s.limit.rate, maxStaleAfter.Seconds()) * float64(time.Second))
+	return max(expected, minStaleAfter)
 }
 
-// spend notes that so many calls are sent. The caller holds the lock.
-func (s *Server) spend(calls float64, now time.Time) {
-	s.spendCold(calls, now)
+// consume counts calls that are sent. The caller holds the lock.
+func (s *Server) consume(calls float64, now time.Time) {
+	s.consumeCold(calls, now)
 	if !s.limit.named || calls == 0 {
 		return
 	}
-	s.settle(now)
-	if s.allowance.level < calls {
+	s.refill(now)
+	if s.allowance.balance < calls {
 		s.allowance.probeUntil = time.Time{}
 	}
-	s.allowance.level = max(s.allowance.level-calls, -burst)
+	s.allowance.balance = max(s.allowance.balance-calls, -burst)
 }
 
-// roomIn is how long it takes until the limit leaves room for so many calls, here or at
+// limitDelay returns how long it takes until the limit leaves room for calls, here or at
 // another instance. The caller holds the lock.
-func (s *Server) roomIn(calls float64, now time.Time) time.Duration {
+func (s *Server) limitDelay(calls float64, now time.Time) time.Duration {
 	if !s.limit.named {
 		return 0
 	}
-	s.settle(now)
+	s.refill(now)
 	a := &s.allowance
-	if a.part > 0 {
-		return seconds((calls - a.level) / a.part)
+	if a.share > 0 {
+		return cappedSeconds((calls - a.balance) / a.share)
 	}
 	if s.limit.rate > 0 {
-		return seconds(calls / s.limit.rate)
+		return cappedSeconds(calls / s.limit.rate)
 	}
 	return max(s.staleAfter()-now.Sub(s.limit.at), 0)
 }
 
-func seconds(s float64) time.Duration {
-	return time.Duration(min(max(s, 0), staleAtMost.Seconds()) * float64(time.Second))
+func cappedSeconds(s float64) time.Duration {
+	return time.Duration(min(max(s, 0), maxStaleAfter.Seconds()) * float64(time.Second))
 }
--- a/backpressure/rest.go
+++ b/backpressure/rest.go
@@ -2,50 +2,52 @@
 
 import "time"
 
-// rest is the time for which a server wants nothing from this instance. It says nothing of
-// others: a server may turn away one zone only.
-type rest struct {
+// backoff is the time for which a server has asked this instance to send it nothing. It does
+// not apply to other instances: a server may reject the requests of one zone only.
+type backoff struct {
 	until time.Time
-	// recovering is set until the server has taken something since, and tried is when it
-	// was last sent something meanwhile.
+	// recovering is set until the server has accepted a request after the backoff. lastTrial
+	// is when it was last sent one while recovering.
 	recovering bool
-	tried      time.Time
+	lastTrial  time.Time
 }
 
 const (
-	// restSpread is the part of a rest that instances add to it, drawn at random, and
-	// restSpreadMost its bound: all that were turned away should not return at once.
-	restSpread     = 0.1
-	restSpreadMost = 300 * time.Millisecond
-	// tryPatience is how long one request that is sent after a rest is waited for before
-	// another one is: longer than the usual answer of a busy server (source: the users'
-	// sheets, 0.45 s).
-	tryPatience = time.Second
+	// jitterFraction is the largest fraction of a backoff that an instance adds to it at
+	// random, and maxJitter bounds the addition. Without it all rejected instances would
+	// return at once.
+	jitterFraction = 0.1
+	maxJitter      = 300 * time.Millisecond
+	// trialTimeout is how long an instance waits for the answer to the one request after a
+	// backoff before it sends another. It is longer than the usual answer time of a busy
+	// server (source: the users' sheets, 0.45 s).
+	trialTimeout = time.Second
 )
 
-// extend has the rest last until the latest moment asked for, and says whether it begins.
-func (r *rest) extend(backoff time.Duration, random float64, now time.Time) (begins bool) {
-	begins = !now.Before(r.until)
-	spread := min(time.Duration(restSpread*random*float64(backoff)), restSpreadMost)
-	if until := now.Add(backoff + spread); until.After(r.until) {
-		r.until = until
+// extend makes the backoff last until the latest moment requested, and reports whether it
+// starts now.
+func (b *backoff) extend(requested time.Duration, random float64, now time.Time) (started bool) {
+	started = !now.Before(b.until)
+	jitter := min(time.Duration(jitterFraction*random*float64(requested)), maxJitter)
+	if until := now.Add(requested + jitter); until.After(b.until) {
+		b.until = until
 	}
-	r.recovering = true
-	return begins
+	b.recovering = true
+	return started
 }
 
-// holdsBack says whether the server is to be left alone: after its rest it gets one request,
-// and the others once it has taken that.
-func (r *rest) holdsBack(now time.Time) bool {
-	return now.Before(r.until) || (r.recovering && now.Sub(r.tried) < tryPatience)
+// blocks reports whether calls are withheld. After the backoff the server gets one request,
+// and the others once it has accepted that one.
+func (b *backoff) blocks(now time.Time) bool {
+	return now.Before(b.until) || (b.recovering && now.Sub(b.lastTrial) < trialTimeout)
 }
 
-// sent notes that something is sent.
-func (r *rest) sent(now time.Time) {
-	if r.recovering {
-		r.tried = now
+// recordSend notes that a call is sent.
+func (b *backoff) recordSend(now time.Time) {
+	if b.recovering {
+		b.lastTrial = now
 	}
 }
 
-// roomIn is how long it takes until the server may be sent something.
-func (r *rest) roomIn(now time.Time) time.Duration { return max(r.until.Sub(now), 0) }
+// delay returns how long it takes until a call may be sent.
+func (b *backoff) delay(now time.Time) time.Duration { return max(b.until.Sub(now), 0) }
--- a/backpressure/rest_test.go
+++ b/backpressure/rest_test.go
@@ -5,70 +5,71 @@
 	"time"
 )
 
-// turnedAway is an answer that asks to be left alone for a while.
-func turnedAway(backoff time.Duration) Statement {
+// rejectedWithBackoff is the report of an answer that rejects a call and asks for a backoff.
+func rejectedWithBackoff(backoff time.Duration) Statement {
 	return Statement{Kind: Plain, Refused: true, Backoff: backoff}
 }
 
-func TestAServerThatAsksForRestGetsOneRequestFirst(t *testing.T) {
-	server, start := alone().Server("s"), time.Now()
+func TestServerGetsOneRequestAfterBackoff(t *testing.T) {
+	server, start := singleInstance().Server("s"), time.Now()
 	at := func(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
-	server.Heard(turnedAway(3*time.Second), at(0), at(10))
-	server.Heard(turnedAway(time.Second), at(0), at(20))
+	server.Heard(rejectedWithBackoff(3*time.Second), at(0), at(10))
+	server.Heard(rejectedWithBackoff(time.Second), at(0), at(20))
 	for millis := 20; millis < 3010; millis += 10 {
 		if server.Send(PlainWork, at(millis)) != Resting {
-			t.Fatalf("sent %d ms after it asked for 3 s", millis)
+			t.Fatalf("request was sent %d ms after a backoff of 3 s", millis)
 		}
 	}
 	if server.Send(PlainWork, at(3400)) != Clear {
-		t.Fatal("held back after its rest")
+		t.Fatal("request was withheld after the backoff")
 	}
 	if server.Send(PlainWork, at(3410)) != Resting || !server.WantsNothing(at(3410)) {
-		t.Error("a second request before it has taken the first")
+		t.Error("a second request was sent before the first was accepted")
 	}
 	if server.Send(PlainWork, at(4500)) != Clear {
-		t.Error("an answer that never comes is waited for")
+		t.Error("no second request after the first stayed unanswered")
 	}
-	server.Heard(silent, at(3400), at(4510))
+	server.Heard(noLimit, at(3400), at(4510))
 	for range 20 {
 		if server.Send(PlainWork, at(4520)) != Clear {
-			t.Fatal("held back after it took one")
+			t.Fatal("request was withheld after the server accepted one")
 		}
 	}
 }
 
-// A refusal without a word on rest does not end one, nor does an answer that comes late.
-func TestRestLastsAsLongAsItWasAskedFor(t *testing.T) {
-	server, now := alone().Server("s"), time.Now()
-	server.Heard(turnedAway(2*time.Second), now, now)
-	server.Heard(silent, now, now.Add(time.Second))
+// A rejection without a requested backoff does not end a backoff, nor does an answer that
+// arrives late.
+func TestBackoffLastsAsLongAsRequested(t *testing.T) {
+	server, now := singleInstance().Server("s"), time.Now()
+	server.Heard(rejectedWithBackoff(2*time.Second), now, now)
+	server.Heard(noLimit, now, now.Add(time.Second))
 	server.Heard(Statement{Kind: Plain, Refused: true}, now, now.Add(time.Second))
 	if server.Look(PlainWork, now.Add(1900*time.Millisecond)) != Resting {
-		t.Error("its rest has ended early")
+		t.Error("backoff ended early")
 	}
 	if server.Look(TakeBackWork, now.Add(time.Second)) != Clear {
-		t.Error("a stream that was stopped there is lost")
+		t.Error("a stream that was stopped at the server is lost")
 	}
 	if server.Look(ReleaseWork, now.Add(time.Second)) != Resting {
-		t.Error("it was sent what would lapse by itself")
+		t.Error("release of a reservation that expires by itself was sent")
 	}
-	if opens := server.RoomIn(PlainWork, now.Add(time.Second)); opens < time.Second || opens > 1300*time.Millisecond {
-		t.Errorf("opens in %v", opens)
+	if delay := server.RoomIn(PlainWork, now.Add(time.Second)); delay < time.Second || delay > 1300*time.Millisecond {
+		t.Errorf("delay = %v", delay)
 	}
 }
 
-func TestAServerThatLeavesGetsOnlyWhatIsOwed(t *testing.T) {
-	server, now := alone().Server("s"), time.Now()
+func TestDrainingServerGetsOnlyFollowUpRequests(t *testing.T) {
+	server, now := singleInstance().Server("s"), time.Now()
 	server.Heard(Statement{Kind: Plain, Leaving: true}, now, now)
-	server.Heard(silent, now, now.Add(time.Second))
+	server.Heard(noLimit, now, now.Add(time.Second))
 	for _, work := range []Work{PlainWork, PrefillWork, ReserveWork, DecodeWork, TakeOverWork} {
 		if server.Send(work, now.Add(time.Hour)) != Leaving {
-			t.Errorf("%+v is sent", work)
+			t.Errorf("%+v was sent", work)
 		}
 	}
 	for _, work := range []Work{MoveWork, TakeBackWork, ReleaseWork, FreeWork} {
 		if server.Send(work, now.Add(time.Hour)) != Clear {
-			t.Errorf("%+v is not sent", work)
+			t.Errorf("%+v was not sent", work)
 		}
 	}
 }
--- a/backpressure/server.go
+++ b/backpressure/server.go
@@ -7,22 +7,21 @@
 	"time"
 )
 
-// Verdict says whether a call may be sent to a server, and what holds it back.
+// Verdict is whether a call may be sent to a server, and if not, what withholds it.
 type Verdict uint8
 
-// Verdicts.
 const (
-	// Clear: nothing holds it back.
+	// Clear: the call may be sent.
 	Clear Verdict = iota
-	// OverLimit: the server's rate limit leaves no room for it here.
+	// OverLimit: this instance's share of the server's rate limit is used up.
 	OverLimit
-	// Leaving: the server has said that it leaves.
+	// Leaving: the server has reported that it is draining.
 	Leaving
-	// Resting: the server wants nothing from this instance for a while.
+	// Resting: the server asked this instance to back off.
 	Resting
 )
 
-// String names the verdict, for the log.
+// String returns the verdict as it is written to the log.
 func (v Verdict) String() string {
 	switch v {
 	case Clear:
@@ -37,106 +36,107 @@
 	return "unknown"
 }
 
-// Server is what is known of one run of a backend server. A nil *Server is one that has
-// said nothing.
+// Server is the state of one run of a backend server's process, as this instance knows it. A
+// nil *Server stands for a server that has reported nothing.
 type Server struct {
 	tracker *Tracker
 	id      ID
-	// name, known and listed are guarded by the tracker: known is when it was last on the
-	// list of servers, or was heard of before that, and listed whether it is there.
-	name   string
-	known  time.Time
-	listed bool
-	// said is set once the server has said anything that may hold calls back: until then
-	// requests pass without a lock.
-	said atomic.Bool
-
-	// bounded is set once the server was cold.
-	bounded atomic.Bool
+	// name, lastKnown and listed are guarded by the tracker's mutex. lastKnown is when the
+	// server was last on the list of servers or, before it is listed, when a sibling first
+	// reported it. listed is whether it is on the list now.
+	name      string
+	lastKnown time.Time
+	listed    bool
+	// reported is set once the server has reported anything that can withhold calls. Until
+	// then requests pass without taking the lock.
+	reported atomic.Bool
+
+	// wasCold is set once Cold has been called.
+	wasCold atomic.Bool
 
 	mu sync.Mutex
 	state
 	cold      cold
 	allowance allowance
-	// hurried is when siblings were last to hear of a change at once.
-	hurried time.Time
+	// lastUrgent is when siblings were last sent a change at once.
+	lastUrgent time.Time
 }
 
-// state is what a server has said.
+// state is what a server has reported.
 type state struct {
-	limit limit
-	drain drain
-	rest  rest
+	limit   limit
+	drain   drain
+	backoff backoff
 }
 
-// describe says what a server has said, for the log.
+// describe returns the state as text for the log.
 func (s *state) describe(now time.Time) string {
 	text := s.limit.String()
 	if s.drain.leaving {
 		text += ", leaving"
 	}
-	if now.Before(s.rest.until) {
-		text += fmt.Sprintf(", rests for %.1f s", s.rest.until.Sub(now).Seconds())
+	if now.Before(s.backoff.until) {
+		text += fmt.Sprintf(", backing off for %.1f s", s.backoff.until.Sub(now).Seconds())
 	}
 	return text
 }
 
-// Limit returns the requests a second that the server takes, if it names a limit.
+// Limit returns the requests a second that the server accepts, if it has reported a limit.
 func (s *Server) Limit() (rate float64, named bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.limit.rate, s.limit.named
 }
 
-// takesAll says whether nothing is known that may hold calls back.
-func (s *Server) takesAll() bool { return s == nil || (!s.said.Load() && !s.bounded.Load()) }
+// unrestricted reports whether nothing is known that can withhold calls.
+func (s *Server) unrestricted() bool { return s == nil || (!s.reported.Load() && !s.wasCold.Load()) }
 
-// Look says whether work may be sent to the server now, as far as is known.
+// Look reports whether work may be sent to the server now, without counting it.
 func (s *Server) Look(work Work, now time.Time) Verdict {
-	if s.takesAll() {
+	if s.unrestricted() {
 		return Clear
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.judge(work, now)
+	return s.check(work, now)
 }
 
-// Send says whether work may be sent now, and counts it if so.
+// Send reports whether work may be sent now, and counts it if so.
 func (s *Server) Send(work Work, now time.Time) Verdict {
-	if s.takesAll() {
+	if s.unrestricted() {
 		return Clear
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict := s.judge(work, now)
+	verdict := s.check(work, now)
 	if verdict == Clear {
-		s.spend(work.Calls, now)
-		s.rest.sent(now)
+		s.consume(work.Calls, now)
+		s.backoff.recordSend(now)
 	}
 	return verdict
 }
 
-// judge says what holds work back. The caller holds the lock.
-func (s *Server) judge(work Work, now time.Time) Verdict {
+// check reports what withholds work. The caller holds the lock.
+func (s *Server) check(work Work, now time.Time) Verdict {
 	switch {
 	case work.Owed && work.Kind == Decode:
-		// Without, a stream that was stopped there would be lost.
+		// Withholding this call would lose a stream that was stopped at the server.
 		return Clear
-	case s.rest.holdsBack(now):
+	case s.backoff.blocks(now):
 		return Resting
 	case work.Owed:
 		return Clear
 	case s.drain.leaving:
 		return Leaving
-	case s.holdsBack(work.Calls, now) || s.coldHoldsBack(work.Calls, now):
+	case s.exceedsLimit(work.Calls, now) || s.exceedsColdRate(work.Calls, now):
 		return OverLimit
 	}
 	return Clear
 }
 
-// IsLeaving says whether the server has said that it leaves.
+// IsLeaving reports whether the server has reported that it is draining.
 func (s *Server) IsLeaving() bool {
-	if s == nil || !s.said.Load() {
+	if s == nil || !s.reported.Load() {
 		return false
 	}
 	s.mu.Lock()
@@ -144,112 +144,115 @@
 	return s.drain.leaving
 }
 
-// IsResting says whether the server has asked this instance to leave it alone.
+// IsResting reports whether the server has asked this instance to back off for a time that is
+// not over.
 func (s *Server) IsResting(now time.Time) bool {
-	if s == nil || !s.said.Load() {
+	if s == nil || !s.reported.Load() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Before(s.rest.until)
+	return now.Before(s.backoff.until)
 }
 
-// WantsNothing says whether the server is to be left alone by this instance now, since it
-// has asked for that, or has just been sent the first request since.
+// WantsNothing reports whether calls to the server are withheld by a backoff: either the
+// backoff lasts, or the first request after it was sent a moment ago and has not been
+// answered.
 func (s *Server) WantsNothing(now time.Time) bool {
-	if s == nil || !s.said.Load() {
+	if s == nil || !s.reported.Load() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rest.holdsBack(now)
+	return s.backoff.blocks(now)
 }
 
-// RoomIn is how long it takes until work may be sent to the server, as far as is known.
+// RoomIn returns how long it takes until work may be sent to the server, as far as is known.
 func (s *Server) RoomIn(work Work, now time.Time) time.Duration {
-	if s.takesAll() {
+	if s.unrestricted() {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(s.roomIn(work.Calls, now), s.coldRoomIn(work.Calls, now), s.rest.roomIn(now))
+	return max(s.limitDelay(work.Calls, now), s.coldDelay(work.Calls, now), s.backoff.delay(now))
 }
 
-// Heard takes in what an answer says to a call that was sent then.
-func (s *Server) Heard(said Statement, sent, now time.Time) {
-	if !said.says() && !s.said.Load() {
+// Heard applies the server status report in an answer to a call. sent is when the call was
+// sent.
+func (s *Server) Heard(report Statement, sent, now time.Time) {
+	if !report.restricts() && !s.reported.Load() {
 		return
 	}
 	s.mu.Lock()
 	before := s.state
-	s.hearLimit(said, sent, now)
-	limited := s.limit.differs(&before.limit)
-	if limited {
+	s.observeLimit(report, sent, now)
+	limitChanged := s.limit.differsSignificantly(&before.limit)
+	if limitChanged {
 		s.limit.freshUntil = now.Add(freshFor)
 	}
-	drains := said.Leaving && s.drain.begin(now, now.Add(freshFor))
-	rests := s.hearRest(said, now)
-	s.speaks()
+	drainStarted := report.Leaving && s.drain.start(now, now.Add(freshFor))
+	backoffStarted := s.observeBackoff(report, now)
+	s.markReported()
 	after := s.state
-	hurry := (limited || drains) && now.Sub(s.hurried) >= hurryGap
-	if hurry {
-		s.hurried = now
+	urgent := (limitChanged || drainStarted) && now.Sub(s.lastUrgent) >= urgentInterval
+	if urgent {
+		s.lastUrgent = now
 	}
 	s.mu.Unlock()
-	if limited || drains || rests {
-		s.tracker.tell(Change{Server: s.tracker.nameOf(s), Before: before.describe(now), Now: after.describe(now)})
+	if limitChanged || drainStarted || backoffStarted {
+		s.tracker.notifyChange(Change{Server: s.tracker.nameOf(s), Before: before.describe(now), Now: after.describe(now)})
 	}
-	if hurry {
-		s.tracker.hurry()
+	if urgent {
+		s.tracker.notifyUrgent()
 	}
 }
 
-// hurryGap is the least pause between two changes of a server that siblings hear of at
-// once: one may change its mind with each answer.
-const hurryGap = 100 * time.Millisecond
+// urgentInterval is the minimum time between two changes of a server that are sent to siblings
+// at once: a server may report a change with each answer.
+const urgentInterval = 100 * time.Millisecond
 
-// speaks notes that the server has said something. The caller holds the lock.
-func (s *Server) speaks() {
-	if s.said.CompareAndSwap(false, true) {
-		s.tracker.holds.Store(true)
-		s.tracker.addSpeaking(s)
+// markReported notes that the server has reported something. The caller holds the lock.
+func (s *Server) markReported() {
+	if s.reported.CompareAndSwap(false, true) {
+		s.tracker.restricted.Store(true)
+		s.tracker.addReporting(s)
 	}
 }
 
-// hearRest takes in whether the server wants to be left alone, and says whether that
-// begins. The caller holds the lock.
-func (s *Server) hearRest(said Statement, now time.Time) (begins bool) {
-	if said.Backoff > 0 {
-		return s.rest.extend(said.Backoff, s.tracker.random(), now)
+// observeBackoff applies a requested backoff and reports whether it starts with this answer.
+// The caller holds the lock.
+func (s *Server) observeBackoff(report Statement, now time.Time) (started bool) {
+	if report.Backoff > 0 {
+		return s.backoff.extend(report.Backoff, s.tracker.random(), now)
 	}
-	if !said.Refused && !now.Before(s.rest.until) {
-		s.rest.recovering = false
+	if !report.Refused && !now.Before(s.backoff.until) {
+		s.backoff.recovering = false
 	}
 	return false
 }
 
-// hearLimit takes in what an answer says of a limit. One without a limit ends it, unless
-// the call was sent before the limit was last named: answers overtake each other. The
-// caller holds the lock.
-func (s *Server) hearLimit(said Statement, sent, now time.Time) {
+// observeLimit applies what an answer reports of the rate limit. An answer without a limit
+// ends the limit, unless the call was sent before the limit was last reported: answers
+// overtake each other. The caller holds the lock.
+func (s *Server) observeLimit(report Statement, sent, now time.Time) {
 	next := limit{at: now, observation: s.tracker.nextObservation(), freshUntil: s.limit.freshUntil}
 	switch {
-	case said.Limited:
-		next.named, next.rate, next.kinds = true, said.Limit, Kinds(0).with(said.Kind)
-		s.adopt(next, now)
-	case s.limit.named && said.ends(s.limit.kinds) && sent.After(s.limit.at):
-		s.adopt(next, now)
+	case report.Limited:
+		next.named, next.rate, next.kinds = true, report.Limit, Kinds(0).with(report.Kind)
+		s.setLimit(next, now)
+	case s.limit.named && report.endsLimit(s.limit.kinds) && sent.After(s.limit.at):
+		s.setLimit(next, now)
 	}
 }
 
-// adopt takes a limit in place of the one before. The caller holds the lock.
-func (s *Server) adopt(next limit, now time.Time) {
+// setLimit replaces the limit. The caller holds the lock.
+func (s *Server) setLimit(next limit, now time.Time) {
 	if next.named && !s.limit.named {
-		s.allowance.begin(s.tracker.random(), now)
+		s.allowance.reset(s.tracker.random(), now)
 	}
 	if next.named {
 		next.kinds |= s.limit.kinds
 	}
 	s.limit = next
-	s.speaks()
+	s.markReported()
 }
--- a/backpressure/statement.go
+++ b/backpressure/statement.go
@@ -2,26 +2,25 @@
 
 import "time"
 
-// Kind is the kind of call that an answer belongs to.
+// Kind is the kind of a call to a backend server.
 type Kind uint8
 
-// Kinds of calls to backend servers.
 const (
 	// Unknown is no kind of call.
 	Unknown Kind = iota
-	// Plain is a plain request, Decode one that generates.
+	// Plain is a call for a plain request, and Decode one that generates output.
 	Plain
 	Decode
 	// Prefill has an engine read a prompt.
 	Prefill
-	// Reserve has an engine keep memory free, Release gives that back.
+	// Reserve has an engine reserve memory, and Release releases the reservation.
 	Reserve
 	Release
-	// Move copies the memory of a run to another engine.
+	// Move copies the memory of a generation to another engine.
 	Move
-	// Free gives up the result of a prefill or of a move.
+	// Free releases the result of a prefill or of a move.
 	Free
-	// Report has an engine report, Order changes its role.
+	// Report has an engine report its state, and Order changes its role.
 	Report
 	Order
 )
@@ -29,64 +28,65 @@
 // Kinds is a set of kinds of calls.
 type Kinds uint16
 
-// with returns the set with one kind more.
+// with returns the set with kind added.
 func (k Kinds) with(kind Kind) Kinds { return k | 1<<kind }
 
 func (k Kinds) has(kind Kind) bool { return k&(1<<kind) != 0 }
 
-// Work is what a call asks of a server.
+// Work describes a call to a server.
 type Work struct {
 	Kind Kind
-	// Calls is how many calls it counts against a rate limit: those that are sure to follow
-	// it count with it.
+	// Calls is the number of calls that it counts as against a rate limit. It includes the
+	// calls that are certain to follow.
 	Calls float64
-	// Owed is set for what ends, or goes on with, something that the server has already: to
-	// withhold it would cost the server more. It counts, but waits for nothing.
+	// Owed is set for follow-up requests: they finish or continue work that a server already
+	// has, and withholding them would cost the server more. They count against a rate limit,
+	// but do not wait for it.
 	Owed bool
 }
 
-// Works that are sent to servers.
+// Kinds of work sent to servers.
 var (
 	PlainWork   = Work{Kind: Plain, Calls: 1}
 	PrefillWork = Work{Kind: Prefill, Calls: 1}
-	// ReserveWork counts what uses the reservation too, or gives it back.
+	// ReserveWork also counts the call that uses or releases the reservation.
 	ReserveWork = Work{Kind: Reserve, Calls: 2}
 	ReleaseWork = Work{Kind: Release, Owed: true}
-	// DecodeWork has a reservation.
+	// DecodeWork uses a reservation, which has already been counted.
 	DecodeWork = Work{Kind: Decode}
-	// TakeOverWork goes on with a stream that has moved to the server, TakeBackWork with
-	// one that was stopped there and could not move.
+	// TakeOverWork continues a stream that has moved to the server. TakeBackWork continues one
+	// that was stopped at the server and could not move.
 	TakeOverWork = Work{Kind: Decode, Calls: 1}
 	TakeBackWork = Work{Kind: Decode, Calls: 1, Owed: true}
 	MoveWork     = Work{Kind: Move, Calls: 1, Owed: true}
 	FreeWork     = Work{Kind: Free, Calls: 1, Owed: true}
-	// OrderWork counts the report that an order is decided by.
+	// OrderWork also counts the report by which the order is decided.
 	OrderWork = Work{Kind: Order, Calls: 2}
 )
 
-// Statement is what one answer says of the server that gave it.
+// Statement is the server status report in one answer.
 type Statement struct {
 	Kind Kind
-	// Refused is set if the server did not run what it was sent.
+	// Refused is set if the server did not execute the request.
 	Refused bool
-	// Limited is set if the answer names a rate limit, and Limit is how many requests a
-	// second the server takes from all instances together.
+	// Limited is set if the answer reports a rate limit. Limit is the number of requests a
+	// second that the server accepts from all instances together.
 	Limited bool
 	Limit   float64
-	// Leaving is set if the server says that it leaves: it is not to get new work.
+	// Leaving is set if the server reports that it is draining and must get no new work.
 	Leaving bool
-	// Backoff is for how long the server, as it turned the call away, wants nothing from the
-	// instance that made it; 0 if it did not say.
+	// Backoff is how long the server, which rejected the call, asks the instance to send it
+	// nothing. It is 0 if the server did not ask.
 	Backoff time.Duration
-	// Unreadable is set if the answer says something of a limit that cannot be read.
+	// Unreadable is set if the answer reports a limit that cannot be parsed.
 	Unreadable bool
 }
 
-// says says whether the statement holds anything that may hold calls back.
-func (s Statement) says() bool { return s.Limited || s.Leaving || s.Backoff > 0 }
+// restricts reports whether the report contains anything that can withhold calls.
+func (s Statement) restricts() bool { return s.Limited || s.Leaving || s.Backoff > 0 }
 
-// ends says whether a statement ends a limit that was named in answers of some kinds:
-// answers to refused calls, or of other kinds, may never name one.
-func (s Statement) ends(named Kinds) bool {
+// endsLimit reports whether the answer ends a limit that was reported in answers of the kinds
+// named. Answers to rejected calls and to other kinds of calls may never report a limit.
+func (s Statement) endsLimit(named Kinds) bool {
 	return !s.Limited && !s.Refused && !s.Unreadable && named.has(s.Kind)
 }
--- a/backpressure/tracker.go
+++ b/backpressure/tracker.go
@@ -1,11 +1,12 @@
-// Package backpressure holds what backend servers say of themselves in their answers, and
-// what this instance may send them by that: a server in need names how many requests a
-// second it takes from all instances together, one that leaves says so, and one that turns
-// a request away may ask to be left alone. It does no I/O and reads no clock.
+// Package backpressure keeps what backend servers report about themselves in their answers,
+// and decides by it what this instance may send them. An overloaded server reports how many
+// requests a second it accepts from all instances together. A server that is draining reports
+// that. A server that rejects a request may ask the instance to back off. The package does no
+// I/O and reads no clock.
 //
-// Each instance keeps to its part of a limit. The parts hold by themselves, whatever
-// instances send each other: what one of them sends another cannot be late for them. What
-// instances send each other is which servers are limited (Update, Merge).
+// Each instance keeps to its share of a rate limit. The shares do not depend on messages
+// between instances, so a late message cannot break a limit. Instances only send each other
+// which servers are limited or draining (Update, Merge).
 package backpressure
 
 import (
@@ -18,96 +19,102 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID is a short stand-in for the name of a server's run.
+// ID is a hash that identifies one run of a server in messages between instances.
 type ID uint64
 
 // IDOf returns the ID of a run.
 func IDOf(run string) ID { return ID(xxhash.Sum64String(run)) }
 
-// Change is a change of what is known of a server.
+// Change is a change of a server's known state.
 type Change struct {
-	// Server is the name of its run; empty if it is not known here yet.
+	// Server is the name of the server's run. It is empty if this instance does not know the
+	// name yet.
 	Server string
-	// Before and Now say what is known of it, for the log.
+	// Before and Now describe the state for the log.
 	Before, Now string
-	// By names the sibling by whose word it is known; empty for the server's own.
+	// By is the sibling that sent the change. It is empty if the server reported it to this
+	// instance.
 	By string
-	// Age is how long before that the server said it.
+	// Age is how long ago the server reported it.
 	Age time.Duration
 }
 
-// Tracker holds what is known of all servers. Safe for concurrent use.
+// Tracker keeps the state of all servers. It is safe for concurrent use.
 type Tracker struct {
 	random func() float64
-	// changed and hurried, if set, are told of changes, and that siblings should hear of
-	// one now.
-	changed func(Change)
-	hurried func()
-	// instances is who shares limits.
+	// onChange, if set, is called with each change. onUrgent, if set, is called when a change
+	// should be sent to siblings at once.
+	onChange func(Change)
+	onUrgent func()
+	// instances are the instances that share the rate limits.
 	instances atomic.Pointer[Instances]
-	// observations names the answers that this instance has had.
+	// observations is the last number given to an answer.
 	observations atomic.Uint64
 
-	// holds is set once any server has said something that holds calls back, or was cold.
-	holds atomic.Bool
+	// restricted is set once any server has reported something that can withhold calls, or was
+	// cold.
+	restricted atomic.Bool
 
 	mu      sync.Mutex
 	servers map[ID]*Server
-	// speaking holds those of them that have said something.
-	speaking map[ID]*Server
-	// turn is whose state is sent next without being fresh.
-	turn int
+	// reporting holds the servers that have reported something.
+	reporting map[ID]*Server
+	// nextRepeat is the position of the next server whose state is repeated to siblings though
+	// it has not changed recently.
+	nextRepeat int
 }
 
-// New returns a tracker that knows nothing. random returns a number in [0,1).
+// New returns an empty tracker. random returns a number in [0,1).
 func New(random func() float64) *Tracker {
-	t := &Tracker{random: random, servers: make(map[ID]*Server), speaking: make(map[ID]*Server)}
+	t := &Tracker{random: random, servers: make(map[ID]*Server), reporting: make(map[ID]*Server)}
 	t.instances.Store(&Instances{})
 	t.observations.Store(uint64(random()*(1<<53)) << 11)
 	return t
 }
 
-// OnChange has functions called for each change, and whenever siblings should hear of one
-// now. It must be called before anything else.
-func (t *Tracker) OnChange(changed func(Change), hurried func()) {
-	t.changed, t.hurried = changed, hurried
+// OnChange sets the functions that are called for each change, and when a change should be
+// sent to siblings at once. It must be called before any other method.
+func (t *Tracker) OnChange(onChange func(Change), onUrgent func()) {
+	t.onChange, t.onUrgent = onChange, onUrgent
 }
 
-func (t *Tracker) tell(change Change) {
-	if t.changed != nil {
-		t.changed(change)
+func (t *Tracker) notifyChange(change Change) {
+	if t.onChange != nil {
+		t.onChange(change)
 	}
 }
 
-func (t *Tracker) hurry() {
-	if t.hurried != nil {
-		t.hurried()
+func (t *Tracker) notifyUrgent() {
+	if t.onUrgent != nil {
+		t.onUrgent()
 	}
 }
 
-// nextObservation names an answer; no other instance gives that name.
+// nextObservation returns a number for an answer. The numbers start at a random point, so that
+// no other instance uses the same one.
 func (t *Tracker) nextObservation() uint64 { return t.observations.Add(1) }
 
-// SetInstances says who shares what limited servers take.
+// SetInstances sets the instances that share the rate limits.
 func (t *Tracker) SetInstances(instances Instances) {
 	if !t.instances.Load().equal(&instances) {
 		t.instances.Store(&instances)
 	}
 }
 
-// Server returns what is known of a run of a server.
+// Server returns the state of a run of a server, which is created on first use.
 func (t *Tracker) Server(run string) *Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	server := t.find(IDOf(run))
+	server := t.getOrCreate(IDOf(run))
 	if server.name == "" {
 		server.name, server.listed = run, true
 	}
 	return server
 }
 
-// find returns what is known of a server, which may be nothing. The caller holds the lock.
-func (t *Tracker) find(id ID) *Server {
+// getOrCreate returns the state of a server, which is created if needed. The caller holds the
+// lock.
+func (t *Tracker) getOrCreate(id ID) *Server {
 	server := t.servers[id]
 	if server == nil {
 		server = &Server{tracker: t, id: id}
@@ -116,41 +123,42 @@
 	return server
 }
 
-// forgetAfter is how long what a server has said is kept once it is not on the list of
-// servers any more: its entry may lapse while the platform's store is away, and come back.
+// forgetAfter is how long the state of a server is kept once the server is no longer on the
+// list of servers. Its entry may expire while the platform's store is unreachable, and come
+// back.
 const forgetAfter = 2 * time.Minute
 
-// Keep forgets the servers that have not been known for long.
+// Keep forgets the servers that have been off the list of servers for longer than forgetAfter.
 func (t *Tracker) Keep(known func(run string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, server := range t.servers {
 		server.listed = known(server.name)
 		if server.listed {
-			server.known = now
-		} else if now.Sub(server.known) > forgetAfter {
+			server.lastKnown = now
+		} else if now.Sub(server.lastKnown) > forgetAfter {
 			delete(t.servers, id)
-			delete(t.speaking, id)
+			delete(t.reporting, id)
 		}
 	}
 }
 
-// Holds says whether any server has said something, or was cold: only then does it matter
-// who shares what such servers take.
-func (t *Tracker) Holds() bool { return t.holds.Load() }
+// Holds reports whether any server has reported something or was cold. Only then does it
+// matter which instances share the rates of such servers.
+func (t *Tracker) Holds() bool { return t.restricted.Load() }
 
-// Count counts the servers of which something holds.
-func (t *Tracker) Count(holds func(*Server) bool) int {
+// Count returns the number of servers that have reported something and match a condition.
+func (t *Tracker) Count(matches func(*Server) bool) int {
 	count := 0
-	for _, server := range t.speakingServers() {
-		if holds(server) {
+	for _, server := range t.reportingServers() {
+		if matches(server) {
 			count++
 		}
 	}
 	return count
 }
 
-// Limited counts the servers that name a rate limit.
+// Limited returns the number of servers that report a rate limit.
 func (t *Tracker) Limited() int {
 	return t.Count(func(server *Server) bool {
 		_, named := server.Limit()
@@ -158,15 +166,15 @@
 	})
 }
 
-// Leaving counts the servers that have said that they leave.
+// Leaving returns the number of servers that have reported that they are draining.
 func (t *Tracker) Leaving() int { return t.Count((*Server).IsLeaving) }
 
-// Resting counts the servers that have asked this instance to leave them alone.
+// Resting returns the number of servers that have asked this instance to back off.
 func (t *Tracker) Resting(now time.Time) int {
 	return t.Count(func(server *Server) bool { return server.IsResting(now) })
 }
 
-// Cold counts the servers that bear few requests since they have just started.
+// Cold returns the number of servers that accept few requests because they have just started.
 func (t *Tracker) Cold(now time.Time) int {
 	t.mu.Lock()
 	all := slices.Collect(maps.Values(t.servers))
@@ -180,21 +188,21 @@
 	return count
 }
 
-// addSpeaking notes that a server has said something.
-func (t *Tracker) addSpeaking(server *Server) {
+// addReporting notes that a server has reported something.
+func (t *Tracker) addReporting(server *Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.speaking[server.id] = server
+	t.reporting[server.id] = server
 }
 
-// speakingServers returns the servers that have said something.
-func (t *Tracker) speakingServers() []*Server {
+// reportingServers returns the servers that have reported something.
+func (t *Tracker) reportingServers() []*Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.Collect(maps.Values(t.speaking))
+	return slices.Collect(maps.Values(t.reporting))
 }
 
-// isListed says whether a server is on the list of servers.
+// isListed reports whether a server is on the list of servers.
 func (t *Tracker) isListed(server *Server) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/backpressure/update.go
+++ b/backpressure/update.go
@@ -6,78 +6,79 @@
 	"time"
 )
 
-// Update is what an instance sends its siblings of what servers say.
+// Update is what an instance sends its siblings of what servers report.
 type Update struct {
 	Limits []LimitSaid `cbor:"1,keyasint,omitempty"`
 	Drains []DrainSaid `cbor:"2,keyasint,omitempty"`
 }
 
-// DrainSaid is that a server has said that it leaves.
+// DrainSaid is the report that a server is draining.
 type DrainSaid struct {
 	_      struct{} `cbor:",toarray"`
 	Server ID
-	// AgeMillis is how long ago it first did, in milliseconds.
+	// AgeMillis is how long ago the server first reported it, in milliseconds.
 	AgeMillis int64
 }
 
-// LimitSaid is what a server said of its limit in one answer.
+// LimitSaid is what a server reported of its limit in one answer.
 type LimitSaid struct {
 	_      struct{} `cbor:",toarray"`
 	Server ID
-	// Observation names the answer, and AgeMillis is how long ago it came, in milliseconds.
+	// Observation identifies the answer. AgeMillis is how long ago the answer arrived, in
+	// milliseconds.
 	Observation uint64
 	AgeMillis   int64
-	// Kinds are the kinds of calls in whose answers the server has named the limit.
+	// Kinds are the kinds of calls in whose answers the server has reported the limit.
 	Kinds Kinds
-	// Named is unset if the answer ended a limit.
+	// Named is false if the answer ended a limit.
 	Named bool
 	Rate  float64
 }
 
 const (
-	// freshFor is how long a change is sent with each message: several of them, since
-	// datagrams are lost now and then.
+	// freshFor is how long a change is sent with each message. That is several messages, since
+	// datagrams are sometimes lost.
 	freshFor = 400 * time.Millisecond
-	// endedFor is how long the end of a limit is sent, for those that missed it.
-	endedFor = 10 * time.Second
-	// freshAtOnce bounds the servers in one update whose limit has just changed, some 30
-	// bytes each, and inTurn is how many it repeats of the others.
-	freshAtOnce = 64
-	inTurn      = 2
-	// memory is how old a statement may be that is taken in.
-	memory = 2 * time.Minute
-	// mostServers bounds the servers of which something is known.
-	mostServers = 20_000
+	// endSentFor is how long the end of a limit is sent, for siblings that missed it.
+	endSentFor = 10 * time.Second
+	// maxFreshServers bounds the recently changed servers in one update, at some 30 bytes
+	// each. repeatsPerUpdate is the number of other servers that an update repeats.
+	maxFreshServers  = 64
+	repeatsPerUpdate = 2
+	// maxReportAge is the age beyond which the report of a limit is not accepted.
+	maxReportAge = 2 * time.Minute
+	// maxServers bounds the number of servers whose state is kept.
+	maxServers = 20_000
 )
 
-// Update returns what siblings should be sent now; nil if nothing.
+// Update returns what siblings should be sent now, or nil if there is nothing to send.
 func (t *Tracker) Update(now time.Time) *Update {
-	known := t.telling(now)
-	if len(known) == 0 {
+	servers := t.serversToSend(now)
+	if len(servers) == 0 {
 		return nil
 	}
 	update := &Update{}
-	var rest []*Server
-	for _, server := range known {
-		if server.isFresh(now) && update.size() < freshAtOnce {
+	var others []*Server
+	for _, server := range servers {
+		if server.isFresh(now) && update.size() < maxFreshServers {
 			update.add(server, now)
 		} else {
-			rest = append(rest, server)
+			others = append(others, server)
 		}
 	}
-	for _, server := range t.nextOf(rest) {
+	for _, server := range t.takeRepeats(others) {
 		update.add(server, now)
 	}
 	return update
 }
 
-// Whole returns all that is known, in as many updates as it takes, for an instance that
-// has just started or was cut off.
+// Whole returns all that should be sent to an instance that has just started or was cut off,
+// in as many updates as needed.
 func (t *Tracker) Whole(now time.Time) []*Update {
 	var updates []*Update
-	for some := range slices.Chunk(t.telling(now), freshAtOnce) {
+	for chunk := range slices.Chunk(t.serversToSend(now), maxFreshServers) {
 		update := &Update{}
-		for _, server := range some {
+		for _, server := range chunk {
 			update.add(server, now)
 		}
 		updates = append(updates, update)
@@ -85,37 +86,38 @@
 	return updates
 }
 
-// telling returns the servers of which siblings are told, by id: those on the list. Of
-// others instances would remind each other for ever.
-func (t *Tracker) telling(now time.Time) []*Server {
-	all := slices.DeleteFunc(t.speakingServers(), func(server *Server) bool { return !t.isListed(server) || !server.isTold(now) })
+// serversToSend returns the servers whose state is sent to siblings, sorted by ID. Only
+// servers on the list are sent: instances would repeat the state of the others to each other
+// for ever.
+func (t *Tracker) serversToSend(now time.Time) []*Server {
+	all := slices.DeleteFunc(t.reportingServers(), func(server *Server) bool { return !t.isListed(server) || !server.shouldSend(now) })
 	slices.SortFunc(all, func(a, b *Server) int { return cmp.Compare(a.id, b.id) })
 	return all
 }
 
-// nextOf returns some servers, in turn.
-func (t *Tracker) nextOf(servers []*Server) []*Server {
+// takeRepeats returns the servers whose turn it is to be repeated.
+func (t *Tracker) takeRepeats(servers []*Server) []*Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	picked := make([]*Server, 0, inTurn)
-	for i := range min(inTurn, len(servers)) {
-		picked = append(picked, servers[(t.turn+i)%len(servers)])
+	selected := make([]*Server, 0, repeatsPerUpdate)
+	for i := range min(repeatsPerUpdate, len(servers)) {
+		selected = append(selected, servers[(t.nextRepeat+i)%len(servers)])
 	}
-	t.turn += len(picked)
-	return picked
+	t.nextRepeat += len(selected)
+	return selected
 }
 
-// size counts the statements in an update.
+// size returns the number of reports in an update.
 func (u *Update) size() int { return len(u.Limits) + len(u.Drains) }
 
 func (u *Update) add(server *Server, now time.Time) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	if d := &server.drain; d.isTold(now) {
+	if d := &server.drain; d.shouldSend(now) {
 		u.Drains = append(u.Drains, DrainSaid{Server: server.id, AgeMillis: now.Sub(d.at).Milliseconds()})
 	}
 	l := &server.limit
-	if !l.isTold(now) {
+	if !l.shouldSend(now) {
 		return
 	}
 	u.Limits = append(u.Limits, LimitSaid{
@@ -123,78 +125,78 @@
 	})
 }
 
-// isTold says whether siblings are told of the limit.
-func (l *limit) isTold(now time.Time) bool {
-	return now.Sub(l.at) < memory && (l.named || now.Sub(l.at) < endedFor)
+// shouldSend reports whether the limit is sent to siblings.
+func (l *limit) shouldSend(now time.Time) bool {
+	return now.Sub(l.at) < maxReportAge && (l.named || now.Sub(l.at) < endSentFor)
 }
 
-// isTold says whether siblings are told of the server.
-func (s *Server) isTold(now time.Time) bool {
+// shouldSend reports whether the state of the server is sent to siblings.
+func (s *Server) shouldSend(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.limit.isTold(now) || s.drain.isTold(now)
+	return s.limit.shouldSend(now) || s.drain.shouldSend(now)
 }
 
-// isFresh says whether what is known of the server has just changed.
+// isFresh reports whether the state of the server has just changed.
 func (s *Server) isFresh(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now.Before(s.limit.freshUntil) || now.Before(s.drain.freshUntil)
 }
 
-// Merge takes in what a sibling sends. With relay set, what is new is sent on at once.
+// Merge applies an update from a sibling. With relay set, new reports are sent on at once.
 func (t *Tracker) Merge(update *Update, by string, relay bool, now time.Time) {
 	if update == nil {
 		return
 	}
-	hurry := false
-	for _, said := range update.Limits {
-		hurry = t.mergeLimit(said, by, relay, now) || hurry
+	urgent := false
+	for _, report := range update.Limits {
+		urgent = t.mergeLimit(report, by, relay, now) || urgent
 	}
-	for _, said := range update.Drains {
-		hurry = t.mergeDrain(said, by, relay, now) || hurry
+	for _, report := range update.Drains {
+		urgent = t.mergeDrain(report, by, relay, now) || urgent
 	}
-	if hurry && relay {
-		t.hurry()
+	if urgent && relay {
+		t.notifyUrgent()
 	}
 }
 
-func (t *Tracker) mergeLimit(said LimitSaid, by string, relay bool, now time.Time) (changed bool) {
-	age := time.Duration(said.AgeMillis) * time.Millisecond
-	if said.AgeMillis < 0 || said.AgeMillis > memory.Milliseconds() || !(said.Rate >= 0) {
+func (t *Tracker) mergeLimit(report LimitSaid, by string, relay bool, now time.Time) (changed bool) {
+	age := time.Duration(report.AgeMillis) * time.Millisecond
+	if report.AgeMillis < 0 || report.AgeMillis > maxReportAge.Milliseconds() || !(report.Rate >= 0) {
 		return false
 	}
-	server := t.toldOf(said.Server, now)
+	server := t.reportedServer(report.Server, now)
 	if server == nil {
 		return false
 	}
-	next := limit{named: said.Named, rate: said.Rate, kinds: said.Kinds, at: now.Add(-age), observation: said.Observation}
+	next := limit{named: report.Named, rate: report.Rate, kinds: report.Kinds, at: now.Add(-age), observation: report.Observation}
 	server.mu.Lock()
-	if !server.takes(&next) {
+	if !server.isNewer(&next) {
 		server.mu.Unlock()
 		return false
 	}
 	before := server.state
 	next.freshUntil = server.limit.freshUntil
-	changed = next.differs(&server.limit)
+	changed = next.differsSignificantly(&server.limit)
 	if changed && relay {
 		next.freshUntil = now.Add(freshFor)
 	}
-	server.adopt(next, now)
+	server.setLimit(next, now)
 	after := server.state
 	server.mu.Unlock()
 	if changed {
-		t.tell(Change{Server: t.nameOf(server), Before: before.describe(now), Now: after.describe(now), By: by, Age: age})
+		t.notifyChange(Change{Server: t.nameOf(server), Before: before.describe(now), Now: after.describe(now), By: by, Age: age})
 	}
 	return changed
 }
 
-func (t *Tracker) mergeDrain(said DrainSaid, by string, relay bool, now time.Time) (isNew bool) {
-	age := time.Duration(said.AgeMillis) * time.Millisecond
-	if said.AgeMillis < 0 || said.AgeMillis > drainKept.Milliseconds() {
+func (t *Tracker) mergeDrain(report DrainSaid, by string, relay bool, now time.Time) (isNew bool) {
+	age := time.Duration(report.AgeMillis) * time.Millisecond
+	if report.AgeMillis < 0 || report.AgeMillis > drainSentFor.Milliseconds() {
 		return false
 	}
-	server := t.toldOf(said.Server, now)
+	server := t.reportedServer(report.Server, now)
 	if server == nil {
 		return false
 	}
@@ -204,35 +206,36 @@
 	}
 	server.mu.Lock()
 	before := server.state
-	isNew = server.drain.begin(now.Add(-age), freshUntil)
-	server.speaks()
+	isNew = server.drain.start(now.Add(-age), freshUntil)
+	server.markReported()
 	after := server.state
 	server.mu.Unlock()
 	if isNew {
-		t.tell(Change{Server: t.nameOf(server), Before: before.describe(now), Now: after.describe(now), By: by, Age: age})
+		t.notifyChange(Change{Server: t.nameOf(server), Before: before.describe(now), Now: after.describe(now), By: by, Age: age})
 	}
 	return isNew
 }
 
-// takes says whether a sibling's word on the limit goes before what is known. The caller
-// holds the lock.
-func (s *Server) takes(next *limit) bool {
+// isNewer reports whether a limit that a sibling sent replaces the known one. The caller holds
+// the lock.
+func (s *Server) isNewer(next *limit) bool {
 	if next.observation == s.limit.observation {
 		return false
 	}
 	return next.at.After(s.limit.at)
 }
 
-// toldOf returns the server that a sibling speaks of; nil if there are too many.
-func (t *Tracker) toldOf(id ID, now time.Time) *Server {
+// reportedServer returns the state of a server that a sibling reported, or nil if there are
+// too many servers.
+func (t *Tracker) reportedServer(id ID, now time.Time) *Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.servers[id] == nil && len(t.servers) >= mostServers {
+	if t.servers[id] == nil && len(t.servers) >= maxServers {
 		return nil
 	}
-	server := t.find(id)
-	if server.known.IsZero() {
-		server.known = now
+	server := t.getOrCreate(id)
+	if server.lastKnown.IsZero() {
+		server.lastKnown = now
 	}
 	return server
 }
--- a/backpressure/update_test.go
+++ b/backpressure/update_test.go
@@ -8,8 +8,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// passOn has one tracker hear what another sends, as it arrives.
-func passOn(t *testing.T, from, to *Tracker, sent, arrives time.Time) {
+// deliverUpdate merges one tracker's update into another, as it is after encoding and
+// decoding.
+func deliverUpdate(t *testing.T, from, to *Tracker, sent, arrives time.Time) {
 	t.Helper()
 	data, err := cbor.Marshal(from.Update(sent))
 	if err != nil {
@@ -22,7 +23,7 @@
 	to.Merge(update, "sibling", true, arrives)
 }
 
-// trackers returns so many that know of each other.
+// trackers returns as many trackers as requested.
 func trackers(count int) []*Tracker {
 	all := make([]*Tracker, count)
 	for i := range all {
@@ -31,74 +32,74 @@
 	return all
 }
 
-// Two that repeat each other's word with a delay make it no newer, so the end that a third
-// has heard goes before it.
-func TestRepetitionKeepsNoLimitAlive(t *testing.T) {
+// Two instances that repeat each other's reports with a delay must not make them newer.
+// Otherwise the end of the limit that a third instance has received would not replace them.
+func TestRepeatedReportsDoNotKeepLimit(t *testing.T) {
 	a, b, c := trackers(3)[0], trackers(3)[1], trackers(3)[2]
 	start := time.Now()
 	at := func(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
-	a.Server("s").Heard(named(5), at(0), at(0))
-	passOn(t, a, c, at(0), at(1))
+	a.Server("s").Heard(limitReport(5), at(0), at(0))
+	deliverUpdate(t, a, c, at(0), at(1))
 	for millis := 0; millis < 5000; millis += 100 {
-		passOn(t, a, b, at(millis), at(millis+90))
-		passOn(t, b, a, at(millis+5), at(millis+95))
+		deliverUpdate(t, a, b, at(millis), at(millis+90))
+		deliverUpdate(t, b, a, at(millis+5), at(millis+95))
 	}
-	c.Server("s").Heard(silent, at(400), at(500))
-	passOn(t, a, c, at(5000), at(5050))
+	c.Server("s").Heard(noLimit, at(400), at(500))
+	deliverUpdate(t, a, c, at(5000), at(5050))
 	if c.Limited() != 0 {
-		t.Fatal("an older word came back")
+		t.Fatal("an older report was accepted")
 	}
-	passOn(t, c, a, at(5050), at(5060))
-	passOn(t, a, b, at(5070), at(5080))
+	deliverUpdate(t, c, a, at(5050), at(5060))
+	deliverUpdate(t, a, b, at(5070), at(5080))
 	if a.Limited()+b.Limited() != 0 {
-		t.Error("the end is not heard")
+		t.Error("the end of the limit was not received")
 	}
 }
 
-func TestWhoeverLeavesIsKnownToLeaveOnce(t *testing.T) {
+func TestDrainIsNotifiedOnce(t *testing.T) {
 	all := trackers(2)
 	now := time.Now()
-	told := 0
-	all[1].OnChange(func(Change) { told++ }, nil)
+	notified := 0
+	all[1].OnChange(func(Change) { notified++ }, nil)
 	all[0].Server("s").Heard(Statement{Leaving: true}, now, now)
 	for range 5 {
 		now = now.Add(300 * time.Millisecond)
-		passOn(t, all[0], all[1], now, now)
+		deliverUpdate(t, all[0], all[1], now, now)
 	}
-	if told != 1 || !all[1].Server("s").IsLeaving() || all[1].Leaving() != 1 {
-		t.Errorf("told %d times", told)
+	if notified != 1 || !all[1].Server("s").IsLeaving() || all[1].Leaving() != 1 {
+		t.Errorf("drain notified %d times", notified)
 	}
 }
 
-// Of servers that are gone instances would remind each other for ever.
-func TestNobodyIsToldOfServersThatAreNotListed(t *testing.T) {
-	tracker, now := alone(), time.Now()
+// Instances would repeat the state of unlisted servers to each other for ever.
+func TestUnlistedServersAreNotSent(t *testing.T) {
+	tracker, now := singleInstance(), time.Now()
 	tracker.Merge(&Update{Drains: []DrainSaid{{Server: IDOf("s")}}}, "sibling", true, now)
 	if tracker.Update(now) != nil || tracker.Whole(now) != nil {
-		t.Error("told before it is on the list")
+		t.Error("unlisted server was sent")
 	}
 	tracker.Server("s")
 	if tracker.Update(now) == nil {
-		t.Error("not told though it is on the list")
+		t.Error("listed server was not sent")
 	}
 	tracker.Keep(func(string) bool { return false }, now)
 	if tracker.Update(now) != nil {
-		t.Error("told though it has left the list")
+		t.Error("server was sent after it left the list")
 	}
 }
 
-// Rest is asked of the one that was turned away.
-func TestRestIsNobodyElses(t *testing.T) {
+// A backoff applies only to the instance that was rejected.
+func TestBackoffIsNotSentToSiblings(t *testing.T) {
 	all := trackers(2)
 	now := time.Now()
-	all[0].Server("s").Heard(turnedAway(time.Minute), now, now)
+	all[0].Server("s").Heard(rejectedWithBackoff(time.Minute), now, now)
 	if update := all[0].Update(now); update != nil {
-		t.Errorf("%+v", update)
+		t.Errorf("update = %+v, want none", update)
 	}
 }
 
-func TestWhatCannotBeIsNotTakenIn(t *testing.T) {
-	tracker := alone()
+func TestInvalidReportsAreIgnored(t *testing.T) {
+	tracker := singleInstance()
 	tracker.Merge(&Update{
 		Limits: []LimitSaid{
 			{Server: 1, AgeMillis: -5, Named: true, Rate: 1},
@@ -109,15 +110,15 @@
 		Drains: []DrainSaid{{Server: 5, AgeMillis: -1}, {Server: 6, AgeMillis: 1 << 62}},
 	}, "sibling", true, time.Now())
 	if n := tracker.Limited() + tracker.Leaving(); n != 0 {
-		t.Errorf("%d taken in", n)
+		t.Errorf("%d invalid reports were applied", n)
 	}
 }
 
-// What is known beforehand of a run holds once that is on the list.
-func TestWhatIsHeardOfAnUnknownRunHoldsOnceItIsKnown(t *testing.T) {
-	tracker, now := alone(), time.Now()
+// A report that arrives before its run is on the list applies once the run is listed.
+func TestReportOfUnknownRunAppliesOnceListed(t *testing.T) {
+	tracker, now := singleInstance(), time.Now()
 	tracker.Merge(&Update{Drains: []DrainSaid{{Server: IDOf("s@2")}}}, "sibling", false, now)
 	if tracker.Server("s@2").Look(PlainWork, now) != Leaving || tracker.Server("s@3").Look(PlainWork, now) != Clear {
-		t.Error("not by run")
+		t.Error("report was not applied to its run only")
 	}
 }
