--- a/allotment/gossip.go
+++ b/allotment/gossip.go
@@ -6,138 +6,141 @@
 	"time"
 )
 
-// Spent is what one instance, or a hub's zone, has admitted for a team since it started,
-// in units. It may fall: what never ran is given back.
+// Spent is the total that one instance, or the zone of a hub, has admitted for a team since it
+// started, in units. It can fall: the cost of requests that never ran is released.
 type Spent struct {
 	Team  ID    `cbor:"1,keyasint"`
 	Total int64 `cbor:"2,keyasint"`
-	// Recent is the part of it that is new within Config.RepeatFor, for those who hear of
-	// the team from this instance for the first time.
+	// Recent is the amount of the total that was added within Config.RepeatFor. A receiver
+	// uses it when it receives this instance's total for the team for the first time.
 	Recent int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Level is what a hub knows of a team: what it has left, and what the hub's zone has
-// spent since the hub started.
+// Level is what a hub knows of a team: the balance of its token bucket, and what the hub's
+// zone has spent since the hub started.
 type Level struct {
 	Team  ID    `cbor:"1,keyasint"`
 	Left  int64 `cbor:"2,keyasint"`
 	Total int64 `cbor:"3,keyasint"`
 }
 
-// Spent returns the totals of this instance that others are to hear: those that have
-// changed of late.
+// Spent returns the totals of this instance that are sent to others: those that have changed
+// within Config.RepeatFor.
 func (l *Ledger) Spent(now time.Time) []Spent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var spent []Spent
 	for _, a := range l.teams {
-		if len(a.spends) > 0 && now.Sub(a.spends[len(a.spends)-1].at) <= l.config.RepeatFor {
-			before := a.ownAt(now.Add(-l.config.RepeatFor))
-			spent = append(spent, Spent{Team: IDOf(a.team), Total: int64(a.own), Recent: int64(a.own - before)})
+		if len(a.history) > 0 && now.Sub(a.history[len(a.history)-1].at) <= l.config.RepeatFor {
+			before := a.ownTotalAt(now.Add(-l.config.RepeatFor))
+			spent = append(spent, Spent{Team: IDOf(a.team), Total: int64(a.ownTotal), Recent: int64(a.ownTotal - before)})
 		}
 	}
 	slices.SortFunc(spent, func(a, b Spent) int { return cmp.Compare(a.Team, b.Team) })
 	return spent
 }
 
-// Levels returns what a hub sends about the teams for which anybody has spent something of
-// late, at most so many, those with least left first: for them it matters most.
+// Levels returns what a hub sends about teams that have spent something within
+// Config.RepeatFor at any instance. It returns at most the given number of teams, those with
+// the lowest balances first, since for them a current balance matters most.
 func (l *Ledger) Levels(most int, now time.Time) []Level {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var levels []Level
 	for _, a := range l.teams {
-		if now.Sub(a.moved) > l.config.RepeatFor {
+		if now.Sub(a.lastSpent) > l.config.RepeatFor {
 			continue
 		}
-		l.settle(a, now)
-		levels = append(levels, Level{Team: IDOf(a.team), Left: int64(a.level), Total: int64(a.zone)})
+		l.refill(a, now)
+		levels = append(levels, Level{Team: IDOf(a.team), Left: int64(a.balance), Total: int64(a.zoneTotal)})
 	}
 	slices.SortFunc(levels, func(a, b Level) int { return cmp.Or(cmp.Compare(a.Left, b.Left), cmp.Compare(a.Team, b.Team)) })
 	return levels[:min(len(levels), most)]
 }
 
-// Heard takes what a sibling has spent in all. sameZone is whether it is of this
-// instance's zone.
+// Heard applies the totals that a sibling has spent. sameZone is whether the sibling is in
+// this instance's zone.
 func (l *Ledger) Heard(sibling string, incarnation uint64, spent []Spent, sameZone bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard = now
-	from := l.follow(sourceName{sibling: sibling}, incarnation)
-	for _, one := range spent {
-		new, known := from.advance(one.Team, one.Total)
+	l.lastContact = now
+	from := l.sourceOf(sourceKey{sibling: sibling}, incarnation)
+	for _, entry := range spent {
+		added, known := from.advance(entry.Team, entry.Total)
 		if !known {
-			new = one.Recent
+			added = entry.Recent
 		}
-		for _, a := range l.byID[one.Team] {
-			l.take(a, new, now)
+		for _, a := range l.byID[entry.Team] {
+			l.deduct(a, added, now)
 			if sameZone {
-				a.zone += float64(new)
+				a.zoneTotal += float64(added)
 			}
 		}
 	}
 }
 
-// HeardZone takes what a hub of another zone knows.
+// HeardZone applies what a hub of another zone knows.
 func (l *Ledger) HeardZone(hub string, incarnation uint64, levels []Level, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard = now
-	from := l.follow(sourceName{sibling: hub, zone: true}, incarnation)
-	for _, one := range levels {
-		new, known := from.advance(one.Team, one.Total)
-		for _, a := range l.byID[one.Team] {
-			l.take(a, new, now)
+	l.lastContact = now
+	from := l.sourceOf(sourceKey{sibling: hub, zone: true}, incarnation)
+	for _, entry := range levels {
+		added, known := from.advance(entry.Team, entry.Total)
+		for _, a := range l.byID[entry.Team] {
+			l.deduct(a, added, now)
 			if !known {
-				a.level = min(a.level, float64(one.Left))
+				a.balance = min(a.balance, float64(entry.Left))
 			}
 		}
 	}
 }
 
-// Word is what the hub that an instance follows says of teams.
+// Word is what a member receives from its hub about teams.
 type Word struct {
 	Levels []Level
-	// Known is the moment up to which the hub knew what this instance had spent.
+	// Known is the time up to which the hub knew what this instance had spent.
 	Known time.Time
-	// Due is when the next word is; zero for an instance that hears others itself.
+	// Due is when the next message is expected. It is zero for an instance that receives
+	// messages from all others itself.
 	Due time.Time
 }
 
-// Adopt takes the word of the hub that this instance follows in place of its own account.
-func (l *Ledger) Adopt(word Word, now time.Time) {
+// Adopt replaces the balances of this instance by those that its hub sent, less what this
+// instance has admitted since Word.Known.
+func (l *Ledger) Adopt(update Word, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard = now
-	l.due = word.Due
-	for _, one := range word.Levels {
-		for _, a := range l.byID[one.Team] {
-			a.level = float64(one.Left) - (a.own - a.ownAt(word.Known))
-			a.at, a.moved, a.ahead = now, now, false
+	l.lastContact = now
+	l.nextUpdateDue = update.Due
+	for _, entry := range update.Levels {
+		for _, a := range l.byID[entry.Team] {
+			a.balance = float64(entry.Left) - (a.ownTotal - a.ownTotalAt(update.Known))
+			a.at, a.lastSpent, a.reduced = now, now, false
 		}
 	}
 }
 
-// DropWord ends what a hub's word said of the time after it: this instance hears others
-// itself by now.
+// DropWord ends the expectation of a next message from a hub, once this instance receives
+// messages from the others itself.
 func (l *Ledger) DropWord(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.due.IsZero() {
+	if l.nextUpdateDue.IsZero() {
 		return
 	}
 	for _, a := range l.teams {
-		l.settle(a, now)
+		l.refill(a, now)
 	}
-	l.due = time.Time{}
+	l.nextUpdateDue = time.Time{}
 }
 
-// follow returns the source of a sibling's run.
-func (l *Ledger) follow(name sourceName, incarnation uint64) *source {
-	from := l.source[name]
+// sourceOf returns the source for one run of a sibling.
+func (l *Ledger) sourceOf(key sourceKey, incarnation uint64) *source {
+	from := l.sources[key]
 	if from == nil || from.incarnation != incarnation {
 		from = &source{incarnation: incarnation, totals: make(map[ID]int64)}
-		l.source[name] = from
+		l.sources[key] = from
 	}
 	return from
 }
@@ -146,30 +149,30 @@
 func (l *Ledger) Forget(known func(sibling string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name := range l.source {
-		if !known(name.sibling) {
-			delete(l.source, name)
+	for key := range l.sources {
+		if !known(key.sibling) {
+			delete(l.sources, key)
 		}
 	}
 }
 
-// advance notes a total, and returns what is new of it; known is false for the first one
-// of a team, which may be old.
-func (s *source) advance(team ID, total int64) (new int64, known bool) {
-	before, known := s.totals[team]
+// advance records a total and returns the amount added to the previous one. known is false for
+// the first total of a team, which may be old.
+func (s *source) advance(team ID, total int64) (added int64, known bool) {
+	previous, known := s.totals[team]
 	s.totals[team] = total
 	if !known {
 		return 0, false
 	}
-	return total - before, true
+	return total - previous, true
 }
 
-// take takes from an account what others have spent.
-func (l *Ledger) take(a *account, spent int64, now time.Time) {
+// deduct subtracts what others have spent from a bucket.
+func (l *Ledger) deduct(a *bucket, spent int64, now time.Time) {
 	if spent == 0 {
 		return
 	}
-	l.settle(a, now)
-	a.level -= float64(spent)
-	a.moved = now
+	l.refill(a, now)
+	a.balance -= float64(spent)
+	a.lastSpent = now
 }
--- a/allotment/play_test.go
+++ b/allotment/play_test.go
@@ -15,8 +15,8 @@
 const (
 	window       = 8 * time.Second
 	overage      = 0.1
-	toleration   = 120_000
-	usedSlack    = toleration / 2
+	tolerance    = 120_000
+	usedSlack    = tolerance / 2
 	step         = 10 * time.Millisecond
 	meanCost     = 7700 // prompt and output of a stream, in tokens
 	freshFor     = 300 * time.Millisecond
@@ -24,95 +24,96 @@
 	smallestRate = 29_000
 )
 
-// play is a load on one team before some instances that tell each other what they admit.
-type play struct {
+// simulation is a load of one team on instances that send each other what they admit.
+type simulation struct {
 	random  *rand.Rand
 	start   time.Time
 	limit   Limit
 	ledgers []*Ledger
-	// heard is when each instance heard each other one last.
-	heard [][]time.Time
-	// lag is how old what is told is when it arrives, every the pause between.
-	lag, every time.Duration
-	// cut says whether one instance does not reach another at a moment.
-	cut func(from, to int, at time.Duration) bool
-	// silent has nobody tell anything, and each hand out its part.
-	silent   bool
-	mail     []letter
-	runs     []run
-	asked    float64
-	admitted float64
-	refused  float64
-	age      []int
+	// lastReceived is when each instance last received a message from each other one.
+	lastReceived [][]time.Time
+	// delay is the age of a message when it arrives. interval is the time between two
+	// messages.
+	delay, interval time.Duration
+	// isCut reports whether messages from one instance do not reach another at a moment.
+	isCut func(from, to int, at time.Duration) bool
+	// noMessages is set if no instance sends messages, and each uses its share of the rate.
+	noMessages bool
+	inFlight   []message
+	admissions []admission
+	offered    float64
+	admitted   float64
+	refused    float64
+	restarts   []int
 }
 
-type letter struct {
-	at       time.Time
-	from, to int
-	run      uint64
-	spent    []Spent
+type message struct {
+	at          time.Time
+	from, to    int
+	incarnation uint64
+	spent       []Spent
 }
 
-type run struct {
+type admission struct {
 	at   time.Time
 	cost float64
 }
 
-const playedTeam = "a"
+const testTeam = "a"
 
-// sizes are how many instances are played. Sixty are too many for the race detector, which
-// takes minutes for them; without it they take seconds.
-func sizes() []int {
+// instanceCounts returns the numbers of instances to simulate. Sixty instances take minutes
+// with the race detector and seconds without it.
+func instanceCounts() []int {
 	if racedetector.On {
 		return []int{1, 8}
 	}
 	return []int{1, 8, 60}
 }
 
-func newPlay(seed uint64, instances int, rate float64) *play {
-	p := &play{
+func newSimulation(seed uint64, instances int, rate float64) *simulation {
+	p := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), start: time.Unix(1000, 0), limit: Limit{Rate: rate, Burst: rate},
-		lag: 90 * time.Millisecond, every: 80 * time.Millisecond, cut: func(int, int, time.Duration) bool { return false },
-		heard: make([][]time.Time, instances), age: make([]int, instances),
+		delay: 90 * time.Millisecond, interval: 80 * time.Millisecond, isCut: func(int, int, time.Duration) bool { return false },
+		lastReceived: make([][]time.Time, instances), restarts: make([]int, instances),
 	}
 	for i := range instances {
-		p.heard[i] = make([]time.Time, instances)
+		p.lastReceived[i] = make([]time.Time, instances)
 		p.ledgers = append(p.ledgers, p.newLedger(p.start))
 		for j := range instances {
-			p.heard[i][j] = p.start
+			p.lastReceived[i][j] = p.start
 		}
 	}
 	return p
 }
 
-func (p *play) newLedger(now time.Time) *Ledger {
+func (p *simulation) newLedger(now time.Time) *Ledger {
 	config := DefaultConfig()
 	config.Slack = usedSlack
 	l := New(config, p.random.Float64)
-	l.SetLimits(map[string]Limit{playedTeam: p.limit}, now)
+	l.SetLimits(map[string]Limit{testTeam: p.limit}, now)
 	return l
 }
 
-// restart has an instance forget all.
-func (p *play) restart(i int, now time.Time) {
+// restart replaces an instance by one that has just started and knows nothing.
+func (p *simulation) restart(i int, now time.Time) {
 	p.ledgers[i] = p.newLedger(now)
-	p.age[i]++
-	for j := range p.heard[i] {
-		p.heard[i][j] = time.Time{}
+	p.restarts[i]++
+	for j := range p.lastReceived[i] {
+		p.lastReceived[i][j] = time.Time{}
 	}
 }
 
-// offer plays so many tokens a second for a time.
-func (p *play) offer(from, to time.Duration, tokensPerSecond float64) {
-	tell := p.start.Add(from)
+// offer simulates a load from one moment to another.
+func (p *simulation) offer(from, to time.Duration, tokensPerSecond float64) {
+	nextSend := p.start.Add(from)
 	for at := from; at < to; at += step {
 		now := p.start.Add(at)
 		p.deliver(now)
-		if !p.silent && !now.Before(tell) {
-			p.tell(at, now)
-			tell = tell.Add(p.every)
+		if !p.noMessages && !now.Before(nextSend) {
+			p.send(at, now)
+			nextSend = nextSend.Add(p.interval)
 		}
-		p.share(now)
+		p.setShares(now)
 		for expected := tokensPerSecond * step.Seconds() / meanCost; expected > 0; expected-- {
 			if p.random.Float64() < expected {
 				p.arrive(now)
@@ -121,78 +122,79 @@
 	}
 }
 
-func (p *play) arrive(now time.Time) {
+func (p *simulation) arrive(now time.Time) {
 	cost := meanCost * (0.3 + 1.4*p.random.Float64())
-	p.asked += cost
-	if p.ledgers[p.random.IntN(len(p.ledgers))].Admit(playedTeam, cost, now).Admitted {
+	p.offered += cost
+	if p.ledgers[p.random.IntN(len(p.ledgers))].Admit(testTeam, cost, now).Admitted {
 		p.admitted += cost
-		p.runs = append(p.runs, run{at: now, cost: cost})
+		p.admissions = append(p.admissions, admission{at: now, cost: cost})
 	} else {
 		p.refused += cost
 	}
 }
 
-func (p *play) tell(at time.Duration, now time.Time) {
+func (p *simulation) send(at time.Duration, now time.Time) {
 	for i, ledger := range p.ledgers {
 		spent := ledger.Spent(now)
 		for j := range p.ledgers {
-			if i != j && !p.cut(i, j, at) && p.random.IntN(100) > 0 {
-				p.mail = append(p.mail, letter{at: now.Add(p.lag), from: i, to: j, run: uint64(p.age[i] + 1), spent: spent})
+			if i != j && !p.isCut(i, j, at) && p.random.IntN(100) > 0 {
+				p.inFlight = append(p.inFlight, message{at: now.Add(p.delay), from: i, to: j, incarnation: uint64(p.restarts[i] + 1), spent: spent})
 			}
 		}
 	}
 }
 
-func (p *play) deliver(now time.Time) {
-	for len(p.mail) > 0 && !p.mail[0].at.After(now) {
-		l := p.mail[0]
-		p.mail = p.mail[1:]
-		p.heard[l.to][l.from] = now
-		p.ledgers[l.to].Heard(fmt.Sprint(l.from), l.run, l.spent, true, now)
+func (p *simulation) deliver(now time.Time) {
+	for len(p.inFlight) > 0 && !p.inFlight[0].at.After(now) {
+		l := p.inFlight[0]
+		p.inFlight = p.inFlight[1:]
+		p.lastReceived[l.to][l.from] = now
+		p.ledgers[l.to].Heard(fmt.Sprint(l.from), l.incarnation, l.spent, true, now)
 	}
 }
 
-func (p *play) share(now time.Time) {
+func (p *simulation) setShares(now time.Time) {
 	for i, ledger := range p.ledgers {
-		heard := 1
-		for j, at := range p.heard[i] {
+		reachable := 1
+		for j, at := range p.lastReceived[i] {
 			if i != j && now.Sub(at) <= freshFor {
-				heard++
+				reachable++
 			}
 		}
-		if p.silent {
-			heard = 1
+		if p.noMessages {
+			reachable = 1
 		}
-		ledger.SetShare(float64(heard)/float64(len(p.ledgers)), now)
+		ledger.SetShare(float64(reachable)/float64(len(p.ledgers)), now)
 	}
 }
 
-// most is the most that was admitted in any window, as a part of what is tolerated.
-func (p *play) most() float64 {
+// worstWindow returns the largest cost that was admitted in any window, as a fraction of the
+// tolerance.
+func (p *simulation) worstWindow() float64 {
 	worst, sum, first := 0.0, 0.0, 0
-	for _, r := range p.runs {
+	for _, r := range p.admissions {
 		sum += r.cost
-		for r.at.Sub(p.runs[first].at) > window {
-			sum -= p.runs[first].cost
+		for r.at.Sub(p.admissions[first].at) > window {
+			sum -= p.admissions[first].cost
 			first++
 		}
 		worst = max(worst, sum)
 	}
-	return worst / ((p.limit.Rate*window.Seconds()+p.limit.Burst)*(1+overage) + toleration)
+	return worst / ((p.limit.Rate*window.Seconds()+p.limit.Burst)*(1+overage) + tolerance)
 }
 
-// A team that asks for four times its rate, by 60 instances, gets all of it and no more
-// than is tolerated.
-func TestATeamThatAsksForTooMuchGetsItsRate(t *testing.T) {
+// A team that sends four times its rate to 60 instances gets all of its rate, and no more than
+// the tolerance.
+func TestOverloadingTeamGetsItsRate(t *testing.T) {
 	for _, rate := range []float64{smallestRate, largestRate} {
-		for _, instances := range sizes() {
-			p := newPlay(1, instances, rate)
+		for _, instances := range instanceCounts() {
+			p := newSimulation(1, instances, rate)
 			p.offer(0, 10*time.Second, 0.55*rate)
 			p.offer(10*time.Second, 25*time.Second, 4*rate)
-			got := p.most()
-			t.Logf("rate %.0f, %d instances: at most %.2f of what is tolerated, %.2f of its rate", rate, instances, got, p.admitted/25/rate)
+			got := p.worstWindow()
+			t.Logf("rate %.0f, %d instances: at most %.2f of the tolerance, %.2f of its rate", rate, instances, got, p.admitted/25/rate)
 			if got > 1 {
-				t.Errorf("rate %.0f, %d instances: %.2f times what is tolerated", rate, instances, got)
+				t.Errorf("rate %.0f, %d instances: %.2f times the tolerance", rate, instances, got)
 			}
 			if p.admitted < rate*20*0.8 {
 				t.Errorf("rate %.0f, %d instances: only %.0f of %.0f tokens", rate, instances, p.admitted, rate*20)
@@ -201,60 +203,60 @@
 	}
 }
 
-// Each instance's own part of the rate, without messages, leaves a small team before many
-// instances next to nothing; sums of what all spend serve it. Of a team that asks for 0.55
-// of its rate, four streams a second, parts refused 0.086 before 8 instances and 0.606
-// before 60, sums less than 0.0005 (three seeds, 30 s each).
-func TestPartsStarveSmallTeams(t *testing.T) {
-	refused := func(silent bool, instances int) float64 {
-		total, asked := 0.0, 0.0
+// With fixed shares of the rate and no messages, a small team gets next to nothing at many
+// instances. Sums of what all instances admit serve it. Of a team that sends 0.55 of its rate,
+// four streams a second, fixed shares refused 0.086 with 8 instances and 0.606 with 60, and
+// sums less than 0.0005 (three seeds, 30 s each).
+func TestFixedSharesStarveSmallTeams(t *testing.T) {
+	refused := func(noMessages bool, instances int) float64 {
+		total, offered := 0.0, 0.0
 		for seed := range uint64(3) {
-			p := newPlay(seed, instances, smallestRate)
-			p.silent = silent
-			p.offer(0, settling, 0.55*smallestRate)
-			p.asked, p.refused = 0, 0
-			p.offer(settling, settling+30*time.Second, 0.55*smallestRate)
-			total, asked = total+p.refused, asked+p.asked
+			p := newSimulation(seed, instances, smallestRate)
+			p.noMessages = noMessages
+			p.offer(0, warmUp, 0.55*smallestRate)
+			p.offered, p.refused = 0, 0
+			p.offer(warmUp, warmUp+30*time.Second, 0.55*smallestRate)
+			total, offered = total+p.refused, offered+p.offered
 		}
-		return total / asked
+		return total / offered
 	}
-	for _, instances := range sizes()[1:] {
-		parts, sums := refused(true, instances), refused(false, instances)
-		t.Logf("%d instances: parts refuse %.3f, sums %.3f", instances, parts, sums)
+	for _, instances := range instanceCounts()[1:] {
+		shares, sums := refused(true, instances), refused(false, instances)
+		t.Logf("%d instances: fixed shares refuse %.3f, sums %.3f", instances, shares, sums)
 		if sums > 0.01 {
 			t.Errorf("%d instances refuse %.3f of a team that keeps to its rate", instances, sums)
 		}
-		if instances == 60 && parts < 10*sums {
-			t.Errorf("parts refuse %.3f, sums %.3f", parts, sums)
+		if instances == 60 && shares < 10*sums {
+			t.Errorf("fixed shares refuse %.3f, sums %.3f", shares, sums)
 		}
 	}
 }
 
-// settling is how long instances that start know nothing of what was spent.
-const settling = 5 * time.Second
+// warmUp is how long instances that start know nothing of what was spent.
+const warmUp = 5 * time.Second
 
-// Whoever is cut off from whom, and whoever starts again, no team gets more than is
-// tolerated in any window.
-func TestNoScheduleOfCutsLetsATeamHaveTooMuch(t *testing.T) {
+// No team gets more than the tolerance in any window, whichever instances are cut off from
+// each other or restart.
+func TestToleranceHoldsUnderCutsAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(2, 20).Draw(t, "instances")
 		rate := rapid.Float64Range(smallestRate, largestRate).Draw(t, "rate")
-		p := newPlay(rapid.Uint64().Draw(t, "seed"), instances, rate)
-		type spell struct {
+		p := newSimulation(rapid.Uint64().Draw(t, "seed"), instances, rate)
+		type isolation struct {
 			from, to time.Duration
 			side     uint64
 			oneWay   bool
 		}
-		var spells []spell
+		var isolations []isolation
 		for range rapid.IntRange(0, 4).Draw(t, "cuts") {
 			from := time.Duration(rapid.IntRange(0, 18000).Draw(t, "from")) * time.Millisecond
-			spells = append(spells, spell{
+			isolations = append(isolations, isolation{
 				from: from, to: from + time.Duration(rapid.IntRange(100, 8000).Draw(t, "for"))*time.Millisecond,
 				side: rapid.Uint64().Draw(t, "side"), oneWay: rapid.Bool().Draw(t, "oneWay"),
 			})
 		}
-		p.cut = func(from, to int, at time.Duration) bool {
-			for _, s := range spells {
+		p.isCut = func(from, to int, at time.Duration) bool {
+			for _, s := range isolations {
 				a, b := s.side>>(from%64)&1, s.side>>(to%64)&1
 				if at >= s.from && at < s.to && a != b && (!s.oneWay || a == 1) {
 					return true
@@ -271,26 +273,26 @@
 				p.restart(rapid.IntRange(0, instances-1).Draw(t, "who"), p.start.Add(at))
 			}
 		}
-		if got := p.most(); got > 1 {
-			t.Fatalf("%.2f times what is tolerated", got)
+		if got := p.worstWindow(); got > 1 {
+			t.Fatalf("%.2f times the tolerance", got)
 		}
 	})
 }
 
-// What was counted for a request that never ran is there again.
-func TestWhatNeverRanIsGivenBack(t *testing.T) {
+// The cost of a request that never ran is released.
+func TestCostOfRequestThatNeverRanIsReleased(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := New(DefaultConfig(), func() float64 { return 0 })
-	l.SetLimits(map[string]Limit{playedTeam: {Rate: 100, Burst: 100}}, now)
+	l.SetLimits(map[string]Limit{testTeam: {Rate: 100, Burst: 100}}, now)
 	now = now.Add(time.Second)
-	if d := l.Admit(playedTeam, 150, now); !d.Admitted || d.Left != 100 {
+	if d := l.Admit(testTeam, 150, now); !d.Admitted || d.Left != 100 {
 		t.Fatalf("%+v", d)
 	}
-	if d := l.Admit(playedTeam, 10, now); d.Admitted || d.Wait != 500*time.Millisecond {
+	if d := l.Admit(testTeam, 10, now); d.Admitted || d.Wait != 500*time.Millisecond {
 		t.Fatalf("%+v", d)
 	}
-	l.Return(playedTeam, 150, now)
-	if d := l.Admit(playedTeam, 10, now); !d.Admitted || d.Left != 100 {
+	l.Return(testTeam, 150, now)
+	if d := l.Admit(testTeam, 10, now); !d.Admitted || d.Left != 100 {
 		t.Fatalf("%+v", d)
 	}
 	if d := l.Admit("not limited", 1e9, now); !d.Admitted {
@@ -298,62 +300,64 @@
 	}
 }
 
-// A lower limit holds from the moment at which the table is in force.
-func TestALowerLimitHoldsAtOnce(t *testing.T) {
+// A lower limit applies as soon as its table is in force.
+func TestLowerLimitAppliesAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := New(DefaultConfig(), func() float64 { return 0 })
-	l.SetLimits(map[string]Limit{playedTeam: {Rate: 1000, Burst: 1000}}, now)
+	l.SetLimits(map[string]Limit{testTeam: {Rate: 1000, Burst: 1000}}, now)
 	now = now.Add(time.Minute)
-	l.SetLimits(map[string]Limit{playedTeam: {Rate: 10, Burst: 10}, "b": {Rate: 10, Burst: 10}}, now)
-	if d := l.Admit(playedTeam, 11, now); !d.Admitted || d.Left != 10 {
+	l.SetLimits(map[string]Limit{testTeam: {Rate: 10, Burst: 10}, "b": {Rate: 10, Burst: 10}}, now)
+	if d := l.Admit(testTeam, 11, now); !d.Admitted || d.Left != 10 {
 		t.Fatalf("%+v", d)
 	}
-	if d := l.Admit(playedTeam, 1, now); d.Admitted {
+	if d := l.Admit(testTeam, 1, now); d.Admitted {
 		t.Fatalf("%+v", d)
 	}
 	if d := l.Admit("b", 1, now); !d.Admitted {
-		t.Fatalf("a team that has just come has spent nothing: %+v", d)
+		t.Fatalf("a newly added team has spent nothing: %+v", d)
 	}
 }
 
-// A member goes by its hub's word, less what it has admitted since the hub heard it.
-func TestAMemberGoesByItsHub(t *testing.T) {
+// A member uses the balance of its hub, less what it has admitted since the hub last received
+// its total.
+func TestMemberUsesHubBalance(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := New(DefaultConfig(), func() float64 { return 0 })
-	l.SetLimits(map[string]Limit{playedTeam: {Rate: 100, Burst: 1000}}, now)
+	l.SetLimits(map[string]Limit{testTeam: {Rate: 100, Burst: 1000}}, now)
 	now = now.Add(10 * time.Second)
-	l.Admit(playedTeam, 50, now)
-	heard := now.Add(10 * time.Millisecond)
-	l.Admit(playedTeam, 30, now.Add(20*time.Millisecond))
+	l.Admit(testTeam, 50, now)
+	known := now.Add(10 * time.Millisecond)
+	l.Admit(testTeam, 30, now.Add(20*time.Millisecond))
 	now = now.Add(50 * time.Millisecond)
-	l.Adopt(Word{Levels: []Level{{Team: IDOf(playedTeam), Left: 40}}, Known: heard, Due: now.Add(time.Minute)}, now)
-	if d := l.Admit(playedTeam, 1, now); !d.Admitted || d.Left != 10 {
+	l.Adopt(Word{Levels: []Level{{Team: IDOf(testTeam), Left: 40}}, Known: known, Due: now.Add(time.Minute)}, now)
+	if d := l.Admit(testTeam, 1, now); !d.Admitted || d.Left != 10 {
 		t.Fatalf("%+v", d)
 	}
 }
 
-// A member whose hub's next word is late hands out nothing of a team that had little left:
-// all members go by the same word. A team that had much left is served meanwhile.
-func TestAMemberWaitsForALateWord(t *testing.T) {
+// While the next message of its hub is overdue, a member admits nothing for a team with a
+// small balance, since all members have the same balance. A team with a large balance is
+// served meanwhile.
+func TestMemberWaitsForOverdueUpdate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := New(DefaultConfig(), func() float64 { return 0 })
-	l.SetLimits(map[string]Limit{playedTeam: {Rate: 1000, Burst: 5000}, "b": {Rate: 1000, Burst: 5000}}, now)
-	word := Word{Known: now, Due: now.Add(100 * time.Millisecond), Levels: []Level{
-		{Team: IDOf(playedTeam), Left: 100}, {Team: IDOf("b"), Left: 4000},
+	l.SetLimits(map[string]Limit{testTeam: {Rate: 1000, Burst: 5000}, "b": {Rate: 1000, Burst: 5000}}, now)
+	update := Word{Known: now, Due: now.Add(100 * time.Millisecond), Levels: []Level{
+		{Team: IDOf(testTeam), Left: 100}, {Team: IDOf("b"), Left: 4000},
 	}}
-	l.Adopt(word, now)
-	if d := l.Admit(playedTeam, 0, now.Add(100*time.Millisecond)); d.Left != 200 {
-		t.Fatalf("until it is due: %+v", d)
+	l.Adopt(update, now)
+	if d := l.Admit(testTeam, 0, now.Add(100*time.Millisecond)); d.Left != 200 {
+		t.Fatalf("before the update is due: %+v", d)
 	}
 	now = now.Add(200 * time.Millisecond)
-	if d := l.Admit(playedTeam, 50, now); d.Admitted {
-		t.Fatalf("little was left: %+v", d)
+	if d := l.Admit(testTeam, 50, now); d.Admitted {
+		t.Fatalf("team with a small balance: %+v", d)
 	}
-	if d := l.Admit("b", 50, now); !d.Admitted || d.Left != 4100-unheard*100 {
-		t.Fatalf("much was left: %+v", d)
+	if d := l.Admit("b", 50, now); !d.Admitted || d.Left != 4100-overdueSpendFactor*100 {
+		t.Fatalf("team with a large balance: %+v", d)
 	}
 	l.DropWord(now)
-	if d := l.Admit("b", 0, now.Add(100*time.Millisecond)); d.Left != 4100-unheard*100-50+100 {
-		t.Fatalf("once it hears others itself: %+v", d)
+	if d := l.Admit("b", 0, now.Add(100*time.Millisecond)); d.Left != 4100-overdueSpendFactor*100-50+100 {
+		t.Fatalf("after the hub is dropped: %+v", d)
 	}
 }
