--- a/instance/cells.go
+++ b/instance/cells.go
@@ -12,115 +12,123 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// place is where this instance belongs. It is immutable; the list loop swaps
-// in a new one.
-type place struct {
-	// cell is this instance's cell, empty until that is settled, and zoneCells
-	// the number of cells of its zone; 0 while the region is one cell.
+// cellLayout describes how the region is divided and which cell this instance
+// belongs to. It is immutable. The list loop replaces it.
+type cellLayout struct {
+	// cell is this instance's cell, and zoneCells is the number of cells of its
+	// zone. cell is empty until it is determined. zoneCells is 0 while the
+	// region is one cell.
 	cell      string
 	zoneCells int
-	// region is the number of instances listed in the region.
-	region int
+	// regionSize is the number of instances listed in the region.
+	regionSize int
 }
 
-// cells is this instance's part in the division of its region.
+// cells holds what this instance knows of the division of its region.
 type cells struct {
-	place atomic.Pointer[place]
-	mates atomic.Pointer[mates]
-	// far holds what was last listed of other zones; only the list loop uses it.
-	far map[string][]instancelist.Entry
-	// turn counts the reads of the list, to read other zones in turn.
-	turn int
+	layout  atomic.Pointer[cellLayout]
+	members atomic.Pointer[cellMembers]
+	// otherZones holds the latest list of each other zone. Only the list loop
+	// uses it.
+	otherZones map[string][]instancelist.Entry
+	// listReads counts the reads of the lists of other zones, so that they are
+	// read in turn.
+	listReads int
 }
 
-// Cell names this instance's cell.
-func (i *Instance) Cell() string { return i.cells.place.Load().cell }
+// Cell returns the name of this instance's cell.
+func (i *Instance) Cell() string { return i.cells.layout.Load().cell }
 
-// settlePatience is how long an instance waits to see itself on the list
-// before it settles with what it sees.
-const settlePatience = 10 * time.Second
+// selfListedTimeout is how long an instance waits to see itself on the list
+// before it determines its cell from the entries that it sees.
+const selfListedTimeout = 10 * time.Second
 
-// settlePlace works out the cell from the list of this zone and the size of
-// the region. A list that does not show this instance yet may not show others
-// that started with it either: believing it, all of them would take the region
-// for a small one, and each look after every worker.
-func (i *Instance) settlePlace(own []instancelist.Entry, region int) {
+// updateLayout determines the cell from the list of this zone and the size of
+// the region. A list that does not show this instance yet may also lack other
+// instances that started at the same time. If all of them relied on such a
+// list, each would treat the region as a small one and inspect every backend
+// server.
+func (i *Instance) updateLayout(own []instancelist.Entry, region int) {
 	listed := slices.ContainsFunc(own, func(e instancelist.Entry) bool { return e.Name == i.self.Name })
-	if i.Cell() == "" && !listed && i.Uptime() < settlePatience {
+	if i.Cell() == "" && !listed && i.Uptime() < selfListedTimeout {
 		return
 	}
-	next := &place{cell: cell.Whole, region: region}
+	next := &cellLayout{cell: cell.Whole, regionSize: region}
 	if region > i.config.Cell.Most {
 		next.zoneCells = i.config.Cell.Count(len(own))
 		next.cell = cell.Of(i.self.Name, i.config.Zone, next.zoneCells)
 	}
-	before := i.cells.place.Load()
+	before := i.cells.layout.Load()
 	if before.cell != next.cell || before.zoneCells != next.zoneCells {
-		// The workers first: an instance that has its cell counts as ready.
-		i.keeper.restrict(i.workersOf(next))
+		// Restrict the servers first: an instance that has its cell counts as
+		// ready.
+		i.tables.restrict(i.serversOf(next))
 	}
-	i.cells.place.Store(next)
+	i.cells.layout.Store(next)
 }
 
-// workersOf returns whether a backend server is one of a place's cell. Plain
-// servers belong to all cells: nobody is steward of them.
-func (i *Instance) workersOf(at *place) func(*table.BackendView) bool {
+// serversOf returns a function that reports whether a backend server belongs to
+// the cell of a layout. Plain servers belong to all cells, because they have no
+// steward.
+func (i *Instance) serversOf(layout *cellLayout) func(*table.BackendView) bool {
 	return func(backend *table.BackendView) bool {
-		if at.cell == "" {
+		if layout.cell == "" {
 			return false
 		}
-		if at.zoneCells == 0 || backend.Role == table.RolePlain {
+		if layout.zoneCells == 0 || backend.Role == table.RolePlain {
 			return true
 		}
-		return backend.Zone == i.config.Zone && cell.Of(backend.Name, backend.Zone, at.zoneCells) == at.cell
+		return backend.Zone == i.config.Zone && cell.Of(backend.Name, backend.Zone, layout.zoneCells) == layout.cell
 	}
 }
 
-// inCell says whether an instance of this zone belongs to this cell.
+// inCell reports whether an instance of this zone belongs to this cell.
 func (i *Instance) inCell(name string) bool {
-	at := i.cells.place.Load()
-	return at.zoneCells == 0 || cell.Of(name, i.config.Zone, at.zoneCells) == at.cell
+	layout := i.cells.layout.Load()
+	return layout.zoneCells == 0 || cell.Of(name, i.config.Zone, layout.zoneCells) == layout.cell
 }
 
-// mates is the names of the instances of this cell that are alive, this one
-// included, as long as neither the members nor the place have changed.
-type mates struct {
-	view  *member.View
-	at    *place
-	names []string
+// cellMembers caches the names of the live instances of this cell, including
+// this one. It is valid as long as neither the view of the members nor the
+// layout has changed.
+type cellMembers struct {
+	view   *member.View
+	layout *cellLayout
+	names  []string
 }
 
-// cellMates returns the names of the living instances of this cell, this one
-// first.
-func (i *Instance) cellMates() []string {
-	view, at := i.members.View(), i.cells.place.Load()
-	if known := i.cells.mates.Load(); known != nil && known.view == view && known.at == at {
+// cellMemberNames returns the names of the live instances of this cell, this
+// one first.
+func (i *Instance) cellMemberNames() []string {
+	view, layout := i.members.View(), i.cells.layout.Load()
+	if known := i.cells.members.Load(); known != nil && known.view == view && known.layout == layout {
 		return known.names
 	}
-	next := &mates{view: view, at: at, names: []string{i.self.Name}}
+	next := &cellMembers{view: view, layout: layout, names: []string{i.self.Name}}
 	for n := range view.Siblings {
-		if sibling := view.Siblings[n]; sibling.State == member.Alive && sibling.Cell == at.cell {
+		if sibling := view.Siblings[n]; sibling.State == member.Alive && sibling.Cell == layout.cell {
 			next.names = append(next.names, sibling.Name)
 		}
 	}
-	i.cells.mates.Store(next)
+	i.cells.members.Store(next)
 	return next.names
 }
 
 const (
-	// allRead is the size up to which everybody in a cell reads the log.
-	allRead = 8
-	// logReaders is how many instances of a larger cell read it.
+	// allReadCellSize is the largest cell in which every instance reads the
+	// log.
+	allReadCellSize = 8
+	// logReaders is how many instances of a larger cell read the log.
 	logReaders = 2
-	// selfHelp is the silence about the log after which an instance reads it
-	// itself, whoever the readers are.
-	selfHelp = 3 * time.Second
+	// logSilenceTimeout is how long an instance goes without news of the log
+	// before it reads the log itself, even if it is not one of the readers.
+	logSilenceTimeout = 3 * time.Second
 )
 
-// readsLog says whether this instance is to read the log now.
+// readsLog reports whether this instance should read the log now.
 func (i *Instance) readsLog() bool {
-	names := i.cellMates()
-	if len(names) <= allRead || i.Uptime()-time.Duration(i.fresh.Load()) > selfHelp {
+	names := i.cellMemberNames()
+	if len(names) <= allReadCellSize || i.Uptime()-time.Duration(i.lastContact.Load()) > logSilenceTimeout {
 		return true
 	}
 	for _, reader := range cell.Contacts("log "+i.Cell(), names, logReaders) {
@@ -131,19 +139,19 @@
 	return false
 }
 
-// greetFar keeps up with a few instances of the other zones, reading one
-// zone's list at a time.
-func (i *Instance) greetFar(ctx context.Context, zones []string) {
+// contactOtherZones stays in contact with a few instances of the other zones.
+// Each call reads the list of one zone.
+func (i *Instance) contactOtherZones(ctx context.Context, zones []string) {
 	if len(zones) == 0 {
 		return
 	}
-	zone := zones[i.cells.turn%len(zones)]
-	i.cells.turn++
+	zone := zones[i.cells.listReads%len(zones)]
+	i.cells.listReads++
 	entries, err := i.deps.List.List(ctx, zone)
 	if err != nil {
 		return
 	}
-	i.cells.far[zone] = entries
+	i.cells.otherZones[zone] = entries
 	names := make([]string, 0, len(entries))
 	byName := make(map[string]instancelist.Entry, len(entries))
 	for _, entry := range entries {
@@ -151,14 +159,15 @@
 		byName[entry.Name] = entry
 	}
 	for _, name := range cell.Contacts(i.self.Name, names, i.config.Cell.Contacts) {
-		i.greet(byName[name])
+		i.contact(byName[name])
 	}
 }
 
-// regionSize is the instances listed in this zone and the others.
+// regionSize returns the number of instances listed in this zone and the
+// others.
 func (i *Instance) regionSize(own int) int {
 	total := own
-	for _, entries := range i.cells.far {
+	for _, entries := range i.cells.otherZones {
 		total += len(entries)
 	}
 	return total
--- a/instance/cells_test.go
+++ b/instance/cells_test.go
@@ -19,8 +19,8 @@
 
 var measure = flag.Bool("measure", false, "measure large regions")
 
-// region is a large region in memory: many instances, and workers that are
-// only rows and reports.
+// region is a large region in memory: many instances, and backend servers that
+// consist only of a table row and load reports.
 type region struct {
 	log     *standin.Log
 	list    *standin.List
@@ -34,14 +34,14 @@
 
 const regionZones = 3
 
-func newRegion(t *testing.T, instances, workers int) *region {
+func newRegion(t *testing.T, instances, servers int) *region {
 	r := &region{
 		log: standin.NewLog(), list: standin.NewList(time.Second), farm: standin.NewFarm(),
 		network: standin.NewNetwork(time.Millisecond),
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
-	r.append(t, r.workerRows(workers))
+	r.append(t, r.serverRows(servers))
 	for n := range instances {
 		r.add(ctx, n)
 	}
@@ -55,9 +55,9 @@
 	}
 }
 
-func (r *region) workerRows(workers int) table.Edit {
+func (r *region) serverRows(servers int) table.Edit {
 	text := "[pool.write]\nrole = \"decode\"\n"
-	for n := range workers {
+	for n := range servers {
 		address := fmt.Sprintf("10.2.%d.%d:1", n/250, n%250)
 		text += fmt.Sprintf("[backend.write-%d]\npool = \"write\"\naddress = %q\nzone = \"zone-%d\"\npieces = 40\n", n, address, n%regionZones)
 		r.farm.Add(address, standin.DefaultEngine(fmt.Sprint("write-", n)))
@@ -75,18 +75,18 @@
 	config.Caller, config.Peer = fmt.Sprintf("10.3.%d.%d:80", n/250, n%250), fmt.Sprintf("10.3.%d.%d:7", n/250, n%250)
 	port := r.network.Port(config.Peer)
 	random := standin.LockedRandom(rand.New(rand.NewPCG(7, uint64(n))))
-	of := instance.New(config, instance.Deps{
+	one := instance.New(config, instance.Deps{
 		Engines: r.farm, Services: standin.NewPlain(0), Log: r.log, List: r.list, Peers: port,
 		Weights: standin.NewWeights(nil), Random: random,
 	})
-	r.nodes, r.ports = append(r.nodes, of), append(r.ports, port)
+	r.nodes, r.ports = append(r.nodes, one), append(r.ports, port)
 	r.list.Set(instancelist.Entry{Name: config.Name, Zone: config.Zone, Peer: config.Peer, State: instancelist.Live})
-	r.done.Go(func() { of.Run(ctx) })
+	r.done.Go(func() { one.Run(ctx) })
 }
 
-// inForce waits until every instance has a revision, and returns how long the
-// last one took.
-func (r *region) inForce(revision uint64) time.Duration {
+// waitForRevision waits until every instance has a revision, and returns how
+// long the last one took.
+func (r *region) waitForRevision(revision uint64) time.Duration {
 	started := time.Now()
 	for _, n := range r.nodes {
 		for n.Table().Revision < revision && time.Since(started) < time.Minute {
@@ -96,7 +96,7 @@
 	return time.Since(started)
 }
 
-// regionFigures is what a region of some size shows.
+// regionFigures holds what is measured in a region of some size.
 type regionFigures struct {
 	cells, largest, mostMembers int
 	stewards                    map[string]int
@@ -105,25 +105,25 @@
 	messagesPerSecond           float64
 }
 
-const measureRegion = 10 * time.Second
+const trafficPeriod = 10 * time.Second
 
-func measureOf(t *testing.T, instances, workers int) regionFigures {
+func measureRegion(t *testing.T, instances, servers int) regionFigures {
 	var f regionFigures
 	synctest.Test(t, func(t *testing.T) {
-		r := newRegion(t, instances, workers)
+		r := newRegion(t, instances, servers)
 		time.Sleep(40 * time.Second)
 		f = r.figures()
 		before := r.sent()
-		time.Sleep(measureRegion)
+		time.Sleep(trafficPeriod)
 		after := r.sent()
-		perNode := float64(instances) * measureRegion.Seconds()
+		perNode := float64(instances) * trafficPeriod.Seconds()
 		f.bytesPerSecond = float64(after.Bytes-before.Bytes) / perNode
 		f.messagesPerSecond = float64(after.Messages-before.Messages) / perNode
 		for n := range 5 {
 			revision := r.nodes[0].Table().Revision
-			edit := cell(fmt.Sprint("e", n), revision, "counter", fmt.Sprint(n+1))
+			edit := shareEdit(fmt.Sprint("e", n), revision, "counter", fmt.Sprint(n+1))
 			r.append(t, edit)
-			f.slowest = max(f.slowest, r.inForce(uint64(n+2)))
+			f.slowest = max(f.slowest, r.waitForRevision(uint64(n+2)))
 		}
 		r.stop()
 		r.done.Wait()
@@ -148,9 +148,9 @@
 	for _, n := range r.nodes {
 		sizes[n.Cell()]++
 		f.mostMembers = max(f.mostMembers, len(n.Members().Siblings))
-		for worker := range n.View().Backends {
-			if n.Steward(worker) == n.Self().Name {
-				f.stewards[worker]++
+		for server := range n.View().Backends {
+			if n.Steward(server) == n.Self().Name {
+				f.stewards[server]++
 			}
 		}
 	}
@@ -161,7 +161,8 @@
 	return f
 }
 
-// regionSizes are those under test; the larger one has some 700 goroutines.
+// regionSizes returns the numbers of instances to test. The larger region runs
+// about 700 goroutines and is left out under the race detector.
 func regionSizes() []int {
 	if racedetector.On {
 		return []int{8}
@@ -169,40 +170,41 @@
 	return []int{8, 80}
 }
 
-// In a region of several cells, each worker has one steward, nobody knows
-// more than its cell and a few others, and a change reaches everybody.
+// TestCells guards against a division of a region in which a server has no
+// steward or several, an instance knows more than its cell and a few others, or
+// a change does not reach every instance.
 func TestCells(t *testing.T) {
 	for _, instances := range regionSizes() {
-		workers := instances * 3
-		f := measureOf(t, instances, workers)
-		if len(f.stewards) != workers {
-			t.Errorf("%d instances: %d of %d workers have a steward", instances, len(f.stewards), workers)
+		servers := instances * 3
+		f := measureRegion(t, instances, servers)
+		if len(f.stewards) != servers {
+			t.Errorf("%d instances: %d of %d servers have a steward", instances, len(f.stewards), servers)
 		}
-		for worker, stewards := range f.stewards {
+		for server, stewards := range f.stewards {
 			if stewards != 1 {
-				t.Errorf("%d instances: worker %s has %d stewards", instances, worker, stewards)
+				t.Errorf("%d instances: server %s has %d stewards", instances, server, stewards)
 			}
 		}
 		if wholeRegion := f.cells == 1; wholeRegion != (instances <= 24) {
 			t.Errorf("%d instances: %d cells", instances, f.cells)
 		}
 		if f.mostMembers > 40 {
-			t.Errorf("%d instances: somebody knows %d", instances, f.mostMembers)
+			t.Errorf("%d instances: an instance knows %d members", instances, f.mostMembers)
 		}
 		if f.slowest > 10*time.Second {
-			t.Errorf("%d instances: a change took %s", instances, f.slowest)
+			t.Errorf("%d instances: a change took %s to reach every instance", instances, f.slowest)
 		}
 	}
 }
 
 // TestMeasureCells prints the figures of docs/design/0004-cells.md. It runs
-// only when asked to: go test ./instance -run TestMeasureCells -v -measure
+// only on request: go test ./instance -run TestMeasureCells -v -measure
 func TestMeasureCells(t *testing.T) {
 	if !*measure {
 		t.Skip("run with -measure")
 	}
 	for _, instances := range []int{8, 24, 80, 200, 400} {
-		f := measureOf(t, instances, instances*7)
+		f := measureRegion(t, instances, instances*7)
 		t.Logf("instances %d: cells %d, largest %d, most members known %d, slowest change of 5 %s, sent %.0f B/s and %.1f messages/s each",
 			instances, f.cells, f.largest, f.mostMembers, f.slowest, f.bytesPerSecond, f.messagesPerSecond)
 	}
--- a/instance/config.go
+++ b/instance/config.go
@@ -1,6 +1,6 @@
-// Package instance wires one instance together: what it knows, the loops that
-// keep that fresh, and the answers that it gives to siblings. It is the
-// library behind the daemon; callers' and operators' HTTP is laid on top.
+// Package instance wires one instance together: its state, the loops that keep
+// the state fresh, and its answers to siblings. It is the library behind the
+// daemon. The HTTP APIs for callers and operators are built on top of it.
 package instance
 
 import (
@@ -18,47 +18,51 @@
 	"github.com/mastwheel/mastwheel/weightstore"
 )
 
-// Config says who an instance is and how it behaves.
+// Config holds the identity and the settings of an instance.
 type Config struct {
 	Name string
 	// Zone is the availability zone.
 	Zone string
-	// Caller is the address for callers and Peer that for siblings, as others
-	// reach them, "ip:port".
+	// Caller is the address for callers and Peer the address for siblings, as
+	// others reach them, in the form "ip:port".
 	Caller string
 	Peer   string
 
 	Member member.Config
-	// Cell divides a large region.
+	// Cell sets how a large region is divided.
 	Cell cell.Config
-	// Lease is for orders to engines.
+	// Lease applies to the lease on orders to engines.
 	Lease   lease.Config
 	Request request.Config
-	// KeepAnswer is how long a caller may keep an address that it was given.
-	// Shorter spreads load and drains faster; longer asks less often.
+	// KeepAnswer is how long a caller may keep an address from an entry answer.
+	// A shorter time spreads load and drains faster. A longer time causes fewer
+	// queries.
 	KeepAnswer time.Duration
-	// OperationLife is how long a new operation id is good for. It bounds the
-	// records of home and witness.
+	// OperationLife is how long a new operation id is valid. It bounds the
+	// number of records that the home and the witness keep.
 	OperationLife time.Duration
-	// StaleAfter is how long the instance takes new callers while it hears
-	// neither the log nor a sibling: the bound on running an old table.
+	// StaleAfter is how long the instance accepts new callers without contact
+	// with the log or a sibling. It bounds how long an outdated table is used.
 	StaleAfter time.Duration
-	// SettleAfter is how long an instance runs before it is named to callers:
-	// the list's lag and a heartbeat. Shorter names it before it knows every
-	// witness, and calls are refused; longer leaves it idle.
+	// SettleAfter is how long an instance runs before its address is given to
+	// callers: the delay of the instance list plus a heartbeat. With a shorter
+	// time its address is given out before the instance knows every witness,
+	// and calls are refused. With a longer time the instance stays idle.
 	SettleAfter time.Duration
-	// LoadEvery is the period in which a steward asks its engines for load.
+	// LoadEvery is the period in which a steward queries its engines for their
+	// load.
 	LoadEvery time.Duration
 	// ListEvery is the period in which the instance list is read.
 	ListEvery time.Duration
-	// MostOperations bounds the operation records of home and of witness.
+	// MostOperations is the maximum number of operation records, for the home
+	// and for the witness each.
 	MostOperations int
-	// MostTraces bounds the requests kept for operators.
+	// MostTraces is the maximum number of requests kept for operators.
 	MostTraces int
 }
 
-// DefaultRegion suits the deployments of the brief: instances of one region
-// with a few milliseconds between them.
+// DefaultRegion returns settings for a region whose instances are a few
+// milliseconds apart.
 func DefaultRegion() Config {
 	return Config{
 		Member:         member.DefaultRegion(),
@@ -76,8 +80,9 @@
 	}
 }
 
-// DefaultLargeRegion suits a region of more instances than one cell holds:
-// everything that costs bytes for each sibling or listed instance is rarer.
+// DefaultLargeRegion returns settings for a region of more instances than one
+// cell holds. Work that costs bytes for each sibling or listed instance is done
+// less often.
 func DefaultLargeRegion() Config {
 	config := DefaultRegion()
 	config.Member = member.DefaultCell()
@@ -87,7 +92,8 @@
 	return config
 }
 
-// Deps is the outside world of an instance.
+// Deps holds the clients and the random source through which an instance
+// reaches the outside world.
 type Deps struct {
 	Engines  engine.Client
 	Services service.Client
--- a/instance/entry.go
+++ b/instance/entry.go
@@ -12,35 +12,38 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// Entry answers a caller that asks which address to use.
+// Entry is the answer to a caller that requests an address to connect to.
 type Entry struct {
-	// Address is where to connect, "ip:port", and Instance who that is.
+	// Address is where to connect, in the form "ip:port". Instance is the name
+	// of the instance at that address.
 	Address  string `json:"address"`
 	Instance string `json:"instance"`
 	Zone     string `json:"zone"`
 	// KeepSeconds is how long the answer may be kept.
 	KeepSeconds int `json:"keep_seconds"`
-	// Operation is what an operation id needs; nil with no witness at hand.
+	// Operation holds what the caller needs to make operation ids. It is nil if
+	// no witness is available.
 	Operation *EntryOperation `json:"operation,omitempty"`
 }
 
-// EntryOperation says how to make operation ids for the named instance.
+// EntryOperation describes how to make operation ids for the named instance.
 type EntryOperation struct {
-	// Prefix is the begin of each id; a nonce of the caller's follows, of up
-	// to 64 letters, digits, "-" and "_".
+	// Prefix is the start of each id. The caller appends a nonce of up to 64
+	// letters, digits, "-" and "_".
 	Prefix string `json:"prefix"`
-	// Witness is whom to ask for an outcome when the instance is lost.
+	// Witness is the address to query for an outcome when the instance is lost.
 	Witness string `json:"witness"`
-	// ExpiresSeconds is how long ids with the prefix are good.
+	// ExpiresSeconds is how long ids with the prefix are valid.
 	ExpiresSeconds int `json:"expires_seconds"`
 }
 
-// Entry names an instance for a caller: one that is alive, in the caller's
-// availability zone if there is one, with the fewest requests of two drawn. An
-// instance to avoid is one that the caller could not reach: it may have died
-// and not be suspected yet. ok is false when there is none to name.
+// Entry selects an instance for a caller. It prefers live instances in the
+// caller's availability zone, draws two at random and selects the one with
+// fewer requests in flight. The caller could not reach the instance to avoid,
+// which may be dead but not yet suspected. ok is false if there is no instance
+// to select.
 func (i *Instance) Entry(zone, avoid string) (entry Entry, ok bool) {
-	info, ok := i.chooseEntry(zone, avoid)
+	info, ok := i.selectEntry(zone, avoid)
 	if !ok {
 		return Entry{}, false
 	}
@@ -48,7 +51,7 @@
 		Address: info.Caller, Instance: info.Name, Zone: info.Zone,
 		KeepSeconds: int(i.config.KeepAnswer / time.Second),
 	}
-	witness, found := i.chooseWitness(info)
+	witness, found := i.selectWitness(info)
 	if !found {
 		return entry, true
 	}
@@ -65,10 +68,10 @@
 	return entry, true
 }
 
-// candidates returns the instances that may be named: those that are alive
-// and have a table, this one included when it is ready. An instance that has
-// just started does not know all siblings yet, and so not every witness; it is
-// named only while there is no other.
+// candidates returns the instances whose address may be given to callers: those
+// that are alive and have a table, including this one when it is ready. An
+// instance that has just started does not know all siblings yet, and therefore
+// not every witness. It is returned only while there is no other.
 func (i *Instance) candidates() []member.Info {
 	var infos []member.Info
 	if i.Ready() == nil {
@@ -82,7 +85,7 @@
 	return prefer(infos, func(info member.Info) bool { return info.Uptime > i.config.SettleAfter })
 }
 
-// prefer returns the wanted ones, or all if none is.
+// prefer returns the infos that match, or all of them if none does.
 func prefer(infos []member.Info, wanted func(member.Info) bool) []member.Info {
 	var found []member.Info
 	for _, info := range infos {
@@ -96,7 +99,7 @@
 	return infos
 }
 
-func (i *Instance) chooseEntry(zone, avoid string) (member.Info, bool) {
+func (i *Instance) selectEntry(zone, avoid string) (member.Info, bool) {
 	candidates := slices.DeleteFunc(i.candidates(), func(info member.Info) bool { return info.Name == avoid })
 	candidates = prefer(candidates, func(info member.Info) bool { return info.Zone == zone })
 	if len(candidates) == 0 {
@@ -109,8 +112,8 @@
 	return one, true
 }
 
-// chooseWitness draws a witness for a home, in another zone if there is one.
-func (i *Instance) chooseWitness(home member.Info) (member.Info, bool) {
+// selectWitness draws a witness for a home, in another zone if there is one.
+func (i *Instance) selectWitness(home member.Info) (member.Info, bool) {
 	others := slices.DeleteFunc(i.candidates(), func(info member.Info) bool { return info.Name == home.Name })
 	others = prefer(others, func(info member.Info) bool { return info.Zone != home.Zone })
 	if len(others) == 0 {
@@ -123,50 +126,51 @@
 	return infos[int(i.deps.Random()*float64(len(infos)))]
 }
 
-// AskOperation answers a caller that asks what became of an operation. Asked
-// at its home or witness it answers from there; elsewhere it asks the home
-// and, when that does not answer, the witness.
+// AskOperation returns the status of an operation for a caller. At the
+// operation's home or witness it answers from the local records. Elsewhere it
+// queries the home and, if the home does not answer, the witness.
 func (i *Instance) AskOperation(ctx context.Context, id operation.ID) operation.Status {
 	if id.Home == i.self {
 		return i.operations.Ask(id, i.Uptime())
 	}
-	if status, ok := i.askMember(ctx, id.Home, id); ok {
+	if status, ok := i.queryMember(ctx, id.Home, id); ok {
 		return status
 	}
 	if id.Witness == i.self {
 		return i.Witnessed(id)
 	}
-	if status, ok := i.askMember(ctx, id.Witness, id); ok {
+	if status, ok := i.queryMember(ctx, id.Witness, id); ok {
 		return status
 	}
 	return operation.Status{Outcome: reason.Unknown, Reason: reason.NoWitness}
 }
 
-// Witnessed answers as the witness of an operation alone, as it does when the
-// home is out of reach.
+// Witnessed returns the status that the witness records alone give an
+// operation, as when the home is unreachable.
 func (i *Instance) Witnessed(id operation.ID) operation.Status {
 	return i.witness.Ask(id, i.Uptime())
 }
 
-func (i *Instance) askMember(ctx context.Context, whom operation.Member, id operation.ID) (operation.Status, bool) {
-	sibling, known := i.members.View().Find(whom.Name)
-	if !known || sibling.Incarnation != whom.Incarnation || sibling.State == member.Dead {
+func (i *Instance) queryMember(ctx context.Context, target operation.Member, id operation.ID) (operation.Status, bool) {
+	sibling, known := i.members.View().Find(target.Name)
+	if !known || sibling.Incarnation != target.Incarnation || sibling.State == member.Dead {
 		return operation.Status{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, i.config.Request.ReserveTimeout)
 	defer cancel()
-	question := &peer.Message{AskOperation: &peer.AskOperation{Operation: id.String()}}
-	answer, err := i.deps.Peers.Call(ctx, sibling.Peer, question)
+	query := &peer.Message{AskOperation: &peer.AskOperation{Operation: id.String()}}
+	answer, err := i.deps.Peers.Call(ctx, sibling.Peer, query)
 	if err != nil || answer.OperationAnswer == nil {
 		return operation.Status{}, false
 	}
 	return answer.OperationAnswer.Status, true
 }
 
-// Explain returns the record of a request as JSON, from its home if need be;
-// nil when it is not kept.
+// Explain returns the record of a request as JSON. It queries the request's
+// home if the record is not kept here. It returns nil if the record is not
+// found.
 func (i *Instance) Explain(ctx context.Context, requestID string) []byte {
-	if answer := i.traceHere(requestID); answer.JSON != nil {
+	if answer := i.localTrace(requestID); answer.JSON != nil {
 		return answer.JSON
 	}
 	name, _, _ := strings.Cut(requestID, ".")
@@ -176,8 +180,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
-	question := &peer.Message{AskTrace: &peer.AskTrace{RequestID: requestID}}
-	answer, err := i.deps.Peers.Call(ctx, sibling.Peer, question)
+	query := &peer.Message{AskTrace: &peer.AskTrace{RequestID: requestID}}
+	answer, err := i.deps.Peers.Call(ctx, sibling.Peer, query)
 	if err != nil || answer.TraceAnswer == nil {
 		return nil
 	}
--- a/instance/golden_test.go
+++ b/instance/golden_test.go
@@ -9,60 +9,63 @@
 )
 
 func TestSessionPlainDay(t *testing.T) {
-	play(t, func(s *session) {
-		s.ask(s.ctx, s.nodes["sabana-1"], prompt(2400), 40, nil)
-		s.ask(s.ctx, s.nodes["heredia-1"], prompt(300), 5, nil)
-		s.ask(s.ctx, s.nodes["heredia-1"], prompt(90_000), 40, nil)
+	runSession(t, func(s *session) {
+		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 40, nil)
+		s.sendModelRequest(s.ctx, s.nodes["heredia-1"], prompt(300), 5, nil)
+		s.sendModelRequest(s.ctx, s.nodes["heredia-1"], prompt(90_000), 40, nil)
 	})
 }
 
-// A caller leaves while its answer is streamed, and the replies to the first
-// cancels are lost.
+// TestSessionCallerLeaves: a caller disconnects while its answer is streamed,
+// and the replies to the first cancels are lost.
 func TestSessionCallerLeaves(t *testing.T) {
-	play(t, func(s *session) {
-		ctx, leave := context.WithCancel(s.ctx)
+	runSession(t, func(s *session) {
+		ctx, disconnect := context.WithCancel(s.ctx)
 		s.farm.Engine(decodeOne).Faults.LoseCancelReplies.Store(2)
-		s.ask(ctx, s.nodes["sabana-1"], prompt(2400), 40, func(position int) {
+		s.sendModelRequest(ctx, s.nodes["sabana-1"], prompt(2400), 40, func(position int) {
 			if position == 10 {
-				leave()
+				disconnect()
 			}
 		})
 		time.Sleep(500 * time.Millisecond)
-		s.ledgers()
+		s.recordLedgers()
 	})
 }
 
-// A caller leaves while its prompt is read.
+// TestSessionCallerLeavesInPrefill: a caller disconnects while its prompt is
+// prefilled.
 func TestSessionCallerLeavesInPrefill(t *testing.T) {
-	play(t, func(s *session) {
-		ctx, leave := context.WithTimeout(s.ctx, 50*time.Millisecond)
-		defer leave()
-		s.ask(ctx, s.nodes["sabana-1"], prompt(2400), 40, nil)
+	runSession(t, func(s *session) {
+		ctx, disconnect := context.WithTimeout(s.ctx, 50*time.Millisecond)
+		defer disconnect()
+		s.sendModelRequest(ctx, s.nodes["sabana-1"], prompt(2400), 40, nil)
 	})
 }
 
-// A transfer hangs; the result is handed to the other engine in time.
+// TestSessionTransferStalls: a transfer stalls. The prefill result is
+// transferred to the other decode engine in time.
 func TestSessionTransferStalls(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		s.farm.Engine(decodeOne).Faults.StallImports.Store(1)
-		s.ask(s.ctx, s.nodes["sabana-1"], prompt(2400), 40, nil)
+		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 40, nil)
 	})
 }
 
-// A stream breaks and is taken up again at the right token.
+// TestSessionStreamBreaks: a stream breaks and is resumed at the right token.
 func TestSessionStreamBreaks(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		s.farm.Engine(decodeOne).Faults.BreakStreams.Store(1)
 		s.farm.Engine(decodeOne).Faults.RepeatTokens.Store(2)
 		s.farm.Engine(decodeOne).Faults.ForeignTokens.Store(2)
-		s.ask(s.ctx, s.nodes["sabana-1"], prompt(2400), 40, nil)
+		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 40, nil)
 	})
 }
 
-// The decode engine crashes in the middle of an answer.
+// TestSessionEngineCrashes: the decode engine crashes in the middle of an
+// answer.
 func TestSessionEngineCrashes(t *testing.T) {
-	play(t, func(s *session) {
-		s.ask(s.ctx, s.nodes["sabana-1"], prompt(2400), 40, func(position int) {
+	runSession(t, func(s *session) {
+		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 40, func(position int) {
 			if position == 10 {
 				s.farm.Engine(decodeOne).Crash()
 			}
@@ -70,38 +73,38 @@
 	})
 }
 
-// An engine that says it is leaving gets no new work, though the table still
-// has its row.
+// TestSessionEngineLeaves: a draining engine gets no new requests, even while
+// the table still has its row.
 func TestSessionEngineLeaves(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		s.farm.Engine(decodeOne).Faults.Leaving.Store(true)
-		s.ask(s.ctx, s.nodes["sabana-1"], prompt(2400), 10, nil)
+		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 10, nil)
 		time.Sleep(2 * time.Second)
-		s.ask(s.ctx, s.nodes["sabana-1"], prompt(2400), 10, nil)
+		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 10, nil)
 	})
 }
 
-// The home dies in the middle of an answer; the engine's steward finds the
-// stream and cancels it.
+// TestSessionHomeDies: the home dies in the middle of an answer. The engine's
+// steward finds the stream and cancels it.
 func TestSessionHomeDies(t *testing.T) {
-	play(t, func(s *session) {
-		s.ask(s.ctx, s.nodes["sabana-1"], prompt(2400), 4000, func(position int) {
+	runSession(t, func(s *session) {
+		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 4000, func(position int) {
 			if position == 10 {
-				s.lose("sabana-1")
+				s.killAndUnlist("sabana-1")
 			}
 		})
 		time.Sleep(20 * time.Second)
 	})
 }
 
-// The home dies and so does every instance that knew it; the new ones still
-// find its stream.
+// TestSessionEverybodyWhoKnewTheHomeDies: the home dies, and so does every
+// instance that knew it. New instances still find its stream.
 func TestSessionEverybodyWhoKnewTheHomeDies(t *testing.T) {
-	play(t, func(s *session) {
-		s.ask(s.ctx, s.nodes["sabana-1"], prompt(2400), 4000, func(position int) {
+	runSession(t, func(s *session) {
+		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 4000, func(position int) {
 			if position == 10 {
-				s.lose("sabana-1")
-				s.lose("heredia-1")
+				s.killAndUnlist("sabana-1")
+				s.killAndUnlist("heredia-1")
 				s.start("cartago-1", "cartago")
 			}
 		})
@@ -109,130 +112,134 @@
 	})
 }
 
-// A frozen home is a suspect and no more: its stream goes on.
+// TestSessionHomePauses: a suspended home becomes a suspect but is not declared
+// dead, so its stream continues.
 func TestSessionHomePauses(t *testing.T) {
-	play(t, func(s *session) {
-		s.ask(s.ctx, s.nodes["sabana-1"], prompt(2400), 400, func(position int) {
+	runSession(t, func(s *session) {
+		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 400, func(position int) {
 			if position == 10 {
-				s.nodes["sabana-1"].line.Pause()
+				s.nodes["sabana-1"].lifeline.Pause()
 				time.Sleep(7 * time.Second)
-				s.nodes["sabana-1"].line.Resume()
+				s.nodes["sabana-1"].lifeline.Resume()
 			}
 		})
 	})
 }
 
-// A call whose answer is lost stays unknown, and a duplicate does not run.
+// TestSessionAnswerLost: the outcome of a call whose answer is lost stays
+// unknown, and a duplicate of the call does not run.
 func TestSessionAnswerLost(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		home, witness := s.nodes["sabana-1"], s.nodes["heredia-1"]
-		id := s.newID(home, witness, "n1")
+		id := s.newOperationID(home, witness, "n1")
 		s.plain.LoseReplies.Store(1)
-		s.hold(home, id)
-		s.hold(home, id)
-		s.hold(witness, id)
-		s.askOutcome(witness, id)
+		s.callHold(home, id)
+		s.callHold(home, id)
+		s.callHold(witness, id)
+		s.queryOutcome(witness, id)
 	})
 }
 
-// A caller loses its connection while its call runs, and comes back with the
-// same id: it gets the answer, once.
+// TestSessionCallerComesBack: a caller loses its connection while its call
+// runs, and retries with the same id. It gets the answer, and the call runs
+// once.
 func TestSessionCallerComesBack(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		home, witness := s.nodes["sabana-1"], s.nodes["heredia-1"]
-		id := s.newID(home, witness, "n1")
-		ctx, leave := context.WithTimeout(s.ctx, 3*time.Millisecond)
-		defer leave()
-		s.holdUntil(ctx, home, id)
-		s.askOutcome(witness, id)
-		s.hold(home, id)
-		s.hold(home, id)
+		id := s.newOperationID(home, witness, "n1")
+		ctx, disconnect := context.WithTimeout(s.ctx, 3*time.Millisecond)
+		defer disconnect()
+		s.callHoldUntil(ctx, home, id)
+		s.queryOutcome(witness, id)
+		s.callHold(home, id)
+		s.callHold(home, id)
 	})
 }
 
-// A call refused before a byte was sent goes to another server; one that the
-// server says it did not run, too.
+// TestSessionCallRefused: a call that is refused before a byte was sent goes to
+// another server. So does a call that the server reports as not run.
 func TestSessionCallRefused(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		home, witness := s.nodes["sabana-1"], s.nodes["heredia-1"]
 		s.plain.SetDown(standin.SamplePlainOne, true)
-		s.hold(home, s.newID(home, witness, "n1"))
+		s.callHold(home, s.newOperationID(home, witness, "n1"))
 		s.plain.SetDown(standin.SamplePlainOne, false)
 		s.plain.Refuse.Store(1)
-		s.hold(home, s.newID(home, witness, "n2"))
+		s.callHold(home, s.newOperationID(home, witness, "n2"))
 	})
 }
 
-// The caller asks the witness before its call arrives: told "not run", it
-// never runs, however late it comes.
+// TestSessionToldNotRun: the caller queries the witness before its call arrives
+// and gets "not run". The call then never runs, however late it arrives.
 func TestSessionToldNotRun(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		home, witness := s.nodes["sabana-1"], s.nodes["heredia-1"]
-		id := s.newID(home, witness, "n1")
-		s.say("outcome of n1 asked at its witness alone: %s", witness.Witnessed(id).Outcome)
-		s.hold(home, id)
-		s.hold(home, id)
+		id := s.newOperationID(home, witness, "n1")
+		s.recordf("outcome of n1 asked at its witness alone: %s", witness.Witnessed(id).Outcome)
+		s.callHold(home, id)
+		s.callHold(home, id)
 	})
 }
 
-// The home dies; its witness knows what may have run and what did not.
+// TestSessionHomeDiesWithCalls: the home dies. Its witness knows which calls
+// may have run and which did not.
 func TestSessionHomeDiesWithCalls(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		home, witness := s.nodes["sabana-1"], s.nodes["heredia-1"]
-		ran, never := s.newID(home, witness, "ran"), s.newID(home, witness, "never")
-		s.hold(home, ran)
+		ran, never := s.newOperationID(home, witness, "ran"), s.newOperationID(home, witness, "never")
+		s.callHold(home, ran)
 		time.Sleep(100 * time.Millisecond)
-		s.lose("sabana-1")
-		s.askOutcome(witness, ran)
-		s.askOutcome(witness, never)
+		s.killAndUnlist("sabana-1")
+		s.queryOutcome(witness, ran)
+		s.queryOutcome(witness, never)
 		again := s.start("sabana-1", "sabana")
 		time.Sleep(3 * time.Second)
-		s.hold(again, never)
-		s.askOutcome(again, ran)
+		s.callHold(again, never)
+		s.queryOutcome(again, ran)
 	})
 }
 
-// With the witness out of reach, the call is not sent and the caller is told
-// so.
+// TestSessionWitnessOutOfReach: while the witness is unreachable, the call is
+// not sent, and the caller gets an answer that says so.
 func TestSessionWitnessOutOfReach(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		home, witness := s.nodes["sabana-1"], s.nodes["heredia-1"]
 		s.network.Cut(home.Info().Peer, witness.Info().Peer, true)
-		id := s.newID(home, witness, "n1")
-		s.hold(home, id)
+		id := s.newOperationID(home, witness, "n1")
+		s.callHold(home, id)
 		s.network.Cut(home.Info().Peer, witness.Info().Peer, false)
-		s.hold(home, id)
+		s.callHold(home, id)
 	})
 }
 
-// An instance drains: it is not named any more, serves what it has, and says
-// when it is done.
+// TestSessionDrain: a draining instance is no longer given to callers. It
+// serves the requests that it has, and Drain returns when they have ended.
 func TestSessionDrain(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		home, sibling := s.nodes["sabana-1"], s.nodes["heredia-1"]
 		done := make(chan struct{})
-		leave := home.Enter()
+		endRequest := home.Enter()
 		go func() {
 			defer close(done)
 			home.Drain(s.ctx)
-			s.say("sabana-1 has drained")
+			s.recordf("sabana-1 has drained")
 		}()
 		time.Sleep(time.Second)
 		entry, _ := sibling.Entry("sabana", "")
-		s.say("a caller in sabana is sent to %s", entry.Instance)
-		s.ask(s.ctx, home, prompt(2400), 800, nil)
-		leave()
+		s.recordf("a caller in sabana is sent to %s", entry.Instance)
+		s.sendModelRequest(s.ctx, home, prompt(2400), 800, nil)
+		endRequest()
 		<-done
 	})
 }
 
-// Every decode engine says it is leaving: the request is refused at once, not
-// when its first token was due.
+// TestSessionNobodyToDecode: all decode engines are draining. The request is
+// refused at once, not only when its first token is due.
 func TestSessionNobodyToDecode(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		s.farm.Engine(decodeOne).Faults.Leaving.Store(true)
 		s.farm.Engine(decodeTwo).Faults.Leaving.Store(true)
 		time.Sleep(2 * time.Second)
-		s.ask(s.ctx, s.nodes["sabana-1"], prompt(2400), 10, nil)
+		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 10, nil)
 	})
 }
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -38,29 +38,31 @@
 	steward    *route.Steward
 	operations *operation.Home
 	witness    *operation.Witness
-	keeper     *keeper
-	caches     cacheFeed
-	held       heldSince
+	tables     *tableState
+	caches     cacheChanges
+	heldTimes  heldTimes
 	cells      cells
 	orders     orders
 	// ordersToken and ordersUntil publish the lease for HoldsOrders.
 	ordersToken atomic.Uint64
 	ordersUntil atomic.Int64
 
-	// beats counts the heartbeats sent; only the heartbeat loop uses it.
-	beats int
-	// snapshotMissed is set when the log lacked a snapshot at the last look;
-	// only the snapshot loop uses it.
-	snapshotMissed bool
+	// heartbeatsSent counts the heartbeats sent. Only the heartbeat loop uses
+	// it.
+	heartbeatsSent int
+	// snapshotWasMissing is set if the log lacked a snapshot at the last check.
+	// Only the snapshot loop uses it.
+	snapshotWasMissing bool
 
 	inFlight atomic.Int64
 	sequence atomic.Uint64
 	draining atomic.Bool
-	// fresh is when the log or a sibling was last heard, as uptime.
-	fresh atomic.Int64
+	// lastContact is when the log was last read or a sibling last showed this
+	// instance to be up to date, as uptime.
+	lastContact atomic.Int64
 }
 
-// New returns an instance that Run brings to life.
+// New returns an instance. Run starts it.
 func New(config Config, deps Deps) *Instance {
 	now := clock.Now()
 	fleet := route.NewFleet()
@@ -78,15 +80,15 @@
 		steward:    route.NewSteward(),
 		operations: operation.NewHome(self, config.MostOperations),
 		witness:    operation.NewWitness(self, config.MostOperations),
-		keeper:     newKeeper(fleet),
+		tables:     newTableState(fleet),
 	}
-	i.cells.place.Store(&place{})
-	i.keeper.restrict(i.workersOf(i.cells.place.Load()))
-	i.cells.far = make(map[string][]instancelist.Entry)
+	i.cells.layout.Store(&cellLayout{})
+	i.tables.restrict(i.serversOf(i.cells.layout.Load()))
+	i.cells.otherZones = make(map[string][]instancelist.Entry)
 	i.Runner = request.NewRunner(request.Deps{
 		Home:       self.String(),
 		Zone:       config.Zone,
-		View:       i.keeper.View,
+		View:       i.tables.View,
 		Fleet:      i.fleet,
 		Admission:  i.admission,
 		Engines:    deps.Engines,
@@ -109,44 +111,44 @@
 // Zone returns the availability zone.
 func (i *Instance) Zone() string { return i.config.Zone }
 
-// Uptime is the instance's monotonic clock.
+// Uptime returns the time since the start on the monotonic clock.
 func (i *Instance) Uptime() time.Duration { return clock.Since(i.started) }
 
 // Table returns the table in force.
-func (i *Instance) Table() *table.Table { return i.keeper.Table() }
+func (i *Instance) Table() *table.Table { return i.tables.Table() }
 
-// View returns the table in force, compiled.
-func (i *Instance) View() *table.View { return i.keeper.View() }
+// View returns the table in force in compiled form.
+func (i *Instance) View() *table.View { return i.tables.View() }
 
-// Verdict returns what was decided about an edit, if its record was seen.
-func (i *Instance) Verdict(editID string) (table.Verdict, bool) { return i.keeper.Verdict(editID) }
+// Verdict returns the verdict on an edit if its record was read.
+func (i *Instance) Verdict(editID string) (table.Verdict, bool) { return i.tables.Verdict(editID) }
 
 // History returns the last verdicts on edits, the latest first, and how many
-// log records were refused as they could not be read or verified.
-func (i *Instance) History() (verdicts []table.Verdict, bad int) { return i.keeper.History() }
+// log records were rejected because they could not be read or verified.
+func (i *Instance) History() (verdicts []table.Verdict, bad int) { return i.tables.History() }
 
 // Fleet returns what the instance knows of backend servers.
 func (i *Instance) Fleet() *route.Fleet { return i.fleet }
 
-// Members returns the siblings as this instance sees them.
+// Members returns the instance's view of its siblings.
 func (i *Instance) Members() *member.View { return i.members.View() }
 
-// NewRequestID returns an id that names this run of the instance, so that any
-// sibling can find the request's home.
+// NewRequestID returns an id that contains the identity of this run of the
+// instance, so that any sibling can find the request's home.
 func (i *Instance) NewRequestID() string {
 	return i.self.String() + "." + strconv.FormatUint(i.sequence.Add(1), 36)
 }
 
-// Enter counts a request in flight; the returned function ends it.
+// Enter counts a request in flight until the returned function is called.
 func (i *Instance) Enter() (leave func()) {
 	i.inFlight.Add(1)
 	return func() { i.inFlight.Add(-1) }
 }
 
-// InFlight returns the requests that this instance is the home of.
+// InFlight returns the number of requests whose home is this instance.
 func (i *Instance) InFlight() int { return int(i.inFlight.Load()) }
 
-// Info is what the instance says about itself.
+// Info returns what the instance reports about itself to siblings.
 func (i *Instance) Info() member.Info {
 	return member.Info{
 		Name:        i.self.Name,
@@ -156,50 +158,51 @@
 		Peer:        i.config.Peer,
 		Draining:    i.draining.Load(),
 		Uptime:      i.Uptime(),
-		Revision:    i.keeper.Table().Revision,
-		Next:        i.keeper.Next(),
+		Revision:    i.tables.Table().Revision,
+		Next:        i.tables.Next(),
 		InFlight:    i.InFlight(),
 		Cell:        i.Cell(),
 	}
 }
 
-// Ready says whether the instance may take callers, or why not.
+// Ready returns nil if the instance may accept callers, else an error with the
+// reason.
 func (i *Instance) Ready() error {
 	if i.draining.Load() {
 		return errors.New("draining")
 	}
-	if i.keeper.Table().Revision == 0 {
-		return errors.New("no table yet")
+	if i.tables.Table().Revision == 0 {
+		return errors.New("no table received yet")
 	}
 	if i.Cell() == "" {
 		return errors.New("not on the instance list yet")
 	}
 	if i.Stale() {
-		return errors.New("neither the log nor a sibling was heard for too long")
+		return errors.New("no contact with the log or a sibling for too long")
 	}
 	return nil
 }
 
-// Stale says whether the table may be too old to take new callers with.
+// Stale reports whether the table may be too old for accepting new callers.
 func (i *Instance) Stale() bool {
-	return i.Uptime()-time.Duration(i.fresh.Load()) > i.config.StaleAfter
+	return i.Uptime()-time.Duration(i.lastContact.Load()) > i.config.StaleAfter
 }
 
-func (i *Instance) refresh() { i.fresh.Store(int64(i.Uptime())) }
+func (i *Instance) recordContact() { i.lastContact.Store(int64(i.Uptime())) }
 
-// Draining says whether a graceful shutdown has begun.
+// Draining reports whether a graceful shutdown has begun.
 func (i *Instance) Draining() bool { return i.draining.Load() }
 
-// Run keeps the instance alive until ctx ends.
+// Run runs the loops of the instance until ctx ends.
 func (i *Instance) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return i.deps.Peers.Serve(ctx, i.handle) })
 	group.Go(func() error { return i.followLog(ctx) })
 	i.goEvery(ctx, group, i.config.ListEvery, i.readList)
-	i.goEvery(ctx, group, snapshotLook, i.writeSnapshot)
+	i.goEvery(ctx, group, snapshotCheckEvery, i.writeSnapshot)
 	i.goEvery(ctx, group, ordersEvery, i.runOrders)
 	i.goEvery(ctx, group, i.config.Member.HeartbeatEvery, i.heartbeat)
-	i.goAfter(ctx, group, i.config.LoadEvery, i.inspectWorkers)
+	i.goAfter(ctx, group, i.config.LoadEvery, i.inspectServers)
 	err := group.Wait()
 	if ctx.Err() != nil {
 		return nil
@@ -207,9 +210,10 @@
 	return err
 }
 
-// Drain begins a graceful shutdown and returns when it is done, or ctx ends:
-// the instance is no longer named to callers, serves until the answers that
-// name it have expired, and then until its requests have ended.
+// Drain begins a graceful shutdown and returns when it is done or ctx ends. The
+// address of the instance is no longer given to callers. The instance serves
+// until the answers that contain its address have expired, and then until its
+// requests have ended.
 func (i *Instance) Drain(ctx context.Context) {
 	i.draining.Store(true)
 	if !i.config.Request.Protect.Drain {
@@ -221,10 +225,10 @@
 	i.Runner.Wait()
 }
 
-// drainPoll is how often a draining instance looks whether it is done.
+// drainPoll is how often a draining instance checks whether it is done.
 const drainPoll = 50 * time.Millisecond
 
-// goEvery calls work at once and then as goAfter does.
+// goEvery calls work at once and then once a period, as goAfter does.
 func (i *Instance) goEvery(ctx context.Context, group *errgroup.Group, period time.Duration, work func(context.Context)) {
 	phase := i.phase(period)
 	group.Go(func() error {
@@ -233,10 +237,10 @@
 	})
 }
 
-// goAfter calls work once a period, until ctx ends. The period begins at a
-// random phase, so that instances started together do not all work at the same
-// moment, and work that needs what others find out at the start comes after
-// them.
+// goAfter calls work once a period until ctx ends. The first period begins at a
+// random phase, so that instances that start together do not all work at the
+// same moment. Work that needs what other loops read at the start then runs
+// after them.
 func (i *Instance) goAfter(ctx context.Context, group *errgroup.Group, period time.Duration, work func(context.Context)) {
 	phase := i.phase(period)
 	group.Go(func() error { return repeat(ctx, phase, period, work) })
@@ -246,7 +250,7 @@
 	return time.Duration(i.deps.Random() * float64(period))
 }
 
-// repeat calls work once a period, after a phase, until ctx ends.
+// repeat waits for a phase and then calls work once a period until ctx ends.
 func repeat(ctx context.Context, phase, period time.Duration, work func(context.Context)) error {
 	wait.For(ctx, phase)
 	ticker := time.NewTicker(period)
--- a/instance/keeper.go
+++ b/instance/keeper.go
@@ -18,192 +18,199 @@
 )
 
 const (
-	// readBatch is how many log records one read asks for.
+	// readBatch is the maximum number of log records that one read requests.
 	readBatch = 256
-	// keptRecords is how many records are kept for siblings that lag.
-	keptRecords = 1024
-	// logRetryPause is the pause after a read of the log that failed.
-	logRetryPause = 500 * time.Millisecond
+	// maxRecentRecords is how many records are kept for siblings that lag
+	// behind.
+	maxRecentRecords = 1024
+	// logRetryDelay is the delay after a read of the log that failed, or
+	// between checks whether this instance should read the log.
+	logRetryDelay = 500 * time.Millisecond
 )
 
-// keeper holds the fold, the tables that it made, and the last records.
-type keeper struct {
+// tableState holds the fold of the log, the tables that result from it, and the
+// most recent records.
+type tableState struct {
 	fleet *route.Fleet
-	// keep says which backend servers are this cell's; nil for all.
-	keep func(*table.BackendView) bool
+	// inCell reports whether a backend server belongs to this cell. If it is
+	// nil, all servers do.
+	inCell func(*table.BackendView) bool
 
 	mu      sync.Mutex
 	fold    *table.Fold
 	records [][]byte
-	// first is the offset of the first of records.
+	// first is the offset of the first record in records.
 	first uint64
 
-	current atomic.Pointer[inForce]
+	current atomic.Pointer[tableVersion]
 }
 
-// inForce is a table with its compiled form and its place on the log.
-type inForce struct {
+// tableVersion is a table with its compiled form and the next offset of the
+// log.
+type tableVersion struct {
 	table *table.Table
 	view  *table.View
 	next  uint64
 }
 
-func newKeeper(fleet *route.Fleet) *keeper {
-	k := &keeper{fleet: fleet, fold: table.NewFold(), first: 1}
-	k.publish()
-	return k
+func newTableState(fleet *route.Fleet) *tableState {
+	s := &tableState{fleet: fleet, fold: table.NewFold(), first: 1}
+	s.publish()
+	return s
 }
 
 // Table returns the table in force.
-func (k *keeper) Table() *table.Table { return k.current.Load().table }
+func (s *tableState) Table() *table.Table { return s.current.Load().table }
 
-// View returns the table in force, compiled.
-func (k *keeper) View() *table.View { return k.current.Load().view }
+// View returns the table in force in compiled form.
+func (s *tableState) View() *table.View { return s.current.Load().view }
 
 // Next returns the log offset that is needed next.
-func (k *keeper) Next() uint64 { return k.current.Load().next }
+func (s *tableState) Next() uint64 { return s.current.Load().next }
 
-// Verdict returns what was decided about an edit, if its record was seen.
-func (k *keeper) Verdict(editID string) (table.Verdict, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.fold.Verdict(editID)
+// Verdict returns the verdict on an edit if its record was read.
+func (s *tableState) Verdict(editID string) (table.Verdict, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.fold.Verdict(editID)
 }
 
 // Lease returns the state of a lease.
-func (k *keeper) Lease(key string) lease.State {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.fold.Lease(key)
+func (s *tableState) Lease(key string) lease.State {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.fold.Lease(key)
 }
 
 // History returns the last verdicts, the latest first, and how many records
-// were refused as they could not be read or verified.
-func (k *keeper) History() (verdicts []table.Verdict, bad int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.fold.History(), k.fold.Bad()
+// were rejected because they could not be read or verified.
+func (s *tableState) History() (verdicts []table.Verdict, bad int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.fold.History(), s.fold.Bad()
 }
 
-// due returns a snapshot record that the log lacks, or nil.
-func (k *keeper) due() []byte {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	record, err := k.fold.Due()
+// dueSnapshot returns a snapshot record that the log lacks, or nil.
+func (s *tableState) dueSnapshot() []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	record, err := s.fold.Due()
 	if err != nil {
-		klog.ErrorS(err, "Snapshot cannot be written")
+		klog.ErrorS(err, "Failed to create the snapshot record")
 	}
 	return record
 }
 
-// add folds records that begin at an offset; those already folded are passed
-// over.
-func (k *keeper) add(first uint64, records [][]byte) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// apply folds records that begin at an offset. It skips those that are already
+// folded.
+func (s *tableState) apply(first uint64, records [][]byte) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for n, data := range records {
 		offset := first + uint64(n)
-		if offset < k.fold.Next() {
+		if offset < s.fold.Next() {
 			continue
 		}
-		if err := k.fold.Add(offset, data); err != nil {
+		if err := s.fold.Add(offset, data); err != nil {
 			return err
 		}
-		k.keepLocked(offset, data)
+		s.appendRecordLocked(offset, data)
 	}
-	k.publish()
+	s.publish()
 	return nil
 }
 
-func (k *keeper) keepLocked(offset uint64, data []byte) {
-	if len(k.records) == 0 {
-		k.first = offset
+func (s *tableState) appendRecordLocked(offset uint64, data []byte) {
+	if len(s.records) == 0 {
+		s.first = offset
 	}
-	k.records = append(k.records, data)
-	if len(k.records) > keptRecords {
-		k.records = k.records[1:]
-		k.first++
+	s.records = append(s.records, data)
+	if len(s.records) > maxRecentRecords {
+		s.records = s.records[1:]
+		s.first++
 	}
 }
 
-// restore takes a whole state from a sibling, or from a record of the log.
-func (k *keeper) restore(change func(*table.Fold) error) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	before := k.fold.Next()
-	if err := change(k.fold); err != nil {
+// restore replaces the whole state with one from a sibling or from a record of
+// the log.
+func (s *tableState) restore(change func(*table.Fold) error) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	before := s.fold.Next()
+	if err := change(s.fold); err != nil {
 		return err
 	}
-	if k.fold.Next() != before {
-		k.records = nil
-		k.first = k.fold.Next()
-		k.publish()
+	if s.fold.Next() != before {
+		s.records = nil
+		s.first = s.fold.Next()
+		s.publish()
 	}
 	return nil
 }
 
-func (k *keeper) publish() {
-	now := k.fold.Table()
-	if current := k.current.Load(); current != nil && current.table == now {
-		k.current.Store(&inForce{table: now, view: current.view, next: k.fold.Next()})
+func (s *tableState) publish() {
+	now := s.fold.Table()
+	if current := s.current.Load(); current != nil && current.table == now {
+		s.current.Store(&tableVersion{table: now, view: current.view, next: s.fold.Next()})
 		return
 	}
-	k.publishView(now.Compile())
+	s.publishView(now.Compile())
 }
 
-// restrict keeps to some of the backend servers from now on.
-func (k *keeper) restrict(keep func(*table.BackendView) bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.keep = keep
-	k.publishView(k.fold.Table().Compile())
+// restrict limits the view to the backend servers of a cell from now on.
+func (s *tableState) restrict(inCell func(*table.BackendView) bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.inCell = inCell
+	s.publishView(s.fold.Table().Compile())
 }
 
-func (k *keeper) publishView(view *table.View) {
-	if k.keep != nil {
-		view = view.Restrict(k.keep)
+func (s *tableState) publishView(view *table.View) {
+	if s.inCell != nil {
+		view = view.Restrict(s.inCell)
 	}
-	// The fleet first: whoever sees a row in the view finds its server.
-	k.fleet.Adopt(view)
-	k.current.Store(&inForce{table: k.fold.Table(), view: view, next: k.fold.Next()})
+	// Update the fleet first, so that a reader who sees a row in the view finds
+	// its server.
+	s.fleet.Adopt(view)
+	s.current.Store(&tableVersion{table: s.fold.Table(), view: view, next: s.fold.Next()})
 }
 
-// answer returns records from an offset on, or a snapshot when those are no
-// longer kept.
-func (k *keeper) answer(from uint64) *peer.Records {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	answer := &peer.Records{Next: k.fold.Next()}
+// recordsFrom returns the records from an offset on, or a snapshot if those
+// records are no longer kept.
+func (s *tableState) recordsFrom(from uint64) *peer.Records {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	answer := &peer.Records{Next: s.fold.Next()}
 	if from >= answer.Next {
 		return answer
 	}
-	if from < k.first || len(k.records) == 0 {
-		if snapshot, err := k.fold.Snapshot(); err == nil {
+	if from < s.first || len(s.records) == 0 {
+		if snapshot, err := s.fold.Snapshot(); err == nil {
 			answer.Snapshot = snapshot
 		}
 		return answer
 	}
 	answer.First = from
-	answer.Records = append(answer.Records, k.records[from-k.first:]...)
+	answer.Records = append(answer.Records, s.records[from-s.first:]...)
 	return answer
 }
 
-// followLog folds the log as it grows.
+// followLog reads the log and folds its records as they arrive.
 func (i *Instance) followLog(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if !i.readsLog() {
-			wait.For(ctx, logRetryPause)
+			wait.For(ctx, logRetryDelay)
 			continue
 		}
-		batch, err := i.deps.Log.Read(ctx, i.keeper.Next(), readBatch)
+		batch, err := i.deps.Log.Read(ctx, i.tables.Next(), readBatch)
 		if errors.Is(err, oplog.ErrTruncated) {
 			err = i.skipToSnapshot(ctx, batch.First)
 		} else if err == nil {
-			i.refresh()
+			i.recordContact()
 			err = i.fold(batch)
 		}
 		if err != nil {
-			wait.For(ctx, logRetryPause)
+			wait.For(ctx, logRetryDelay)
 		}
 	}
 	return ctx.Err()
@@ -213,7 +220,7 @@
 	if len(batch.Records) == 0 {
 		return nil
 	}
-	return i.keeper.add(batch.Records[0].Offset, dataOf(batch.Records))
+	return i.tables.apply(batch.Records[0].Offset, dataOf(batch.Records))
 }
 
 func dataOf(records []oplog.Record) [][]byte {
@@ -224,16 +231,16 @@
 	return data
 }
 
-// skipToSnapshot looks through what the log still keeps for a snapshot to
-// start from: the records before it are past retention.
+// skipToSnapshot searches the records that the log still keeps for a snapshot
+// to start from. It is used when earlier records are past retention.
 func (i *Instance) skipToSnapshot(ctx context.Context, first uint64) error {
 	for from := first; ctx.Err() == nil; {
 		batch, err := i.deps.Log.Read(ctx, from, readBatch)
 		if err != nil {
-			return errors.WithMessage(err, "look for a snapshot")
+			return errors.WithMessage(err, "search the log for a snapshot")
 		}
 		if len(batch.Records) == 0 {
-			return errors.New("the log keeps no snapshot to start from")
+			return errors.New("search the log for a snapshot: none found")
 		}
 		for _, record := range batch.Records {
 			if i.restoreRecord(record.Data, batch.First) {
@@ -246,7 +253,7 @@
 }
 
 func (i *Instance) restoreRecord(data []byte, first uint64) (restored bool) {
-	i.keeper.restore(func(fold *table.Fold) error {
+	i.tables.restore(func(fold *table.Fold) error {
 		restored = fold.RestoreFromRecord(data, first)
 		return nil
 	})
@@ -254,63 +261,64 @@
 }
 
 const (
-	// snapshotLook is how often an instance looks whether the log lacks a
-	// snapshot.
-	snapshotLook = 5 * time.Second
-	// snapshotKey names, with an offset, the instance that writes first.
+	// snapshotCheckEvery is how often an instance checks whether the log lacks
+	// a snapshot.
+	snapshotCheckEvery = 5 * time.Second
+	// snapshotKey is the key whose owner writes the snapshot first.
 	snapshotKey = "snapshot"
 )
 
-// writeSnapshot writes the snapshot that the log lacks. The instance that owns
-// the duty writes at once, the others only when it is still missing the next
-// time they look; two are no harm.
+// writeSnapshot writes the snapshot that the log lacks. The owner of
+// snapshotKey writes it at once. The other instances write it only if it is
+// still missing at their next check. Two snapshots do no harm.
 func (i *Instance) writeSnapshot(ctx context.Context) {
-	record := i.keeper.due()
+	record := i.tables.dueSnapshot()
 	if record == nil {
-		i.snapshotMissed = false
+		i.snapshotWasMissing = false
 		return
 	}
-	if i.ownerOf(snapshotKey) != i.self.Name && !i.snapshotMissed {
-		i.snapshotMissed = true
+	if i.ownerOf(snapshotKey) != i.self.Name && !i.snapshotWasMissing {
+		i.snapshotWasMissing = true
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
 	if _, err := i.deps.Log.Append(ctx, record); err != nil {
-		klog.V(1).InfoS("Snapshot was not written", "err", err)
+		klog.V(1).InfoS("Failed to append the snapshot to the log", "err", err)
 	}
 }
 
-// catchUp asks a sibling for the records that this instance lacks.
+// catchUp requests the records that this instance lacks from a sibling.
 func (i *Instance) catchUp(ctx context.Context, address string) error {
-	question := &peer.Message{AskRecords: &peer.AskRecords{From: i.keeper.Next()}}
-	answer, err := i.deps.Peers.Call(ctx, address, question)
+	query := &peer.Message{AskRecords: &peer.AskRecords{From: i.tables.Next()}}
+	answer, err := i.deps.Peers.Call(ctx, address, query)
 	if err != nil {
 		return err
 	}
 	if answer.Records == nil {
-		return errors.New("sibling sent no records")
+		return errors.New("answer of the sibling contains no records")
 	}
 	if answer.Records.Snapshot != nil {
-		return i.keeper.restore(func(fold *table.Fold) error { return fold.Restore(answer.Records.Snapshot) })
+		return i.tables.restore(func(fold *table.Fold) error { return fold.Restore(answer.Records.Snapshot) })
 	}
-	return i.keeper.add(answer.Records.First, answer.Records.Records)
+	return i.tables.apply(answer.Records.First, answer.Records.Records)
 }
 
-// Append puts an edit's record on the log and waits until its verdict is
-// known here, or ctx ends. The error says that the verdict is not known yet.
+// Append appends an edit's record to the log and waits until its verdict is
+// known here or ctx ends. An error means that the verdict is not known yet.
 func (i *Instance) Append(ctx context.Context, editID string, record []byte) (table.Verdict, error) {
 	_, appendErr := i.deps.Log.Append(ctx, record)
 	if errors.Is(appendErr, oplog.ErrTooFast) {
 		return table.Verdict{}, appendErr
 	}
 	for wait.For(ctx, verdictPoll) {
-		if verdict, known := i.keeper.Verdict(editID); known {
+		if verdict, known := i.tables.Verdict(editID); known {
 			return verdict, nil
 		}
 	}
-	return table.Verdict{}, errors.New("the log has not answered; ask again with the same edit id")
+	return table.Verdict{}, errors.New("wait for the verdict: the log has not returned the record yet; retry with the same edit id")
 }
 
-// verdictPoll is how often a waiting operator's edit is looked for.
+// verdictPoll is how often the verdict on an edit is checked while an operator
+// waits for it.
 const verdictPoll = 10 * time.Millisecond
--- a/instance/keeper_test.go
+++ b/instance/keeper_test.go
@@ -9,16 +9,17 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Whoever sees a row in the view finds its server, at any moment of a change.
+// TestViewNeverAheadOfFleet checks that a reader who sees a row in the view
+// finds its server, at any moment of a change.
 func TestViewNeverAheadOfFleet(t *testing.T) {
 	fleet := route.NewFleet()
-	k := newKeeper(fleet)
+	state := newTableState(fleet)
 	stop := make(chan struct{})
 	failed := make(chan string, 1)
 	go func() {
 		defer close(failed)
 		for {
-			for name := range k.View().Backends {
+			for name := range state.View().Backends {
 				if fleet.Server(name) == nil {
 					failed <- name
 					return
@@ -32,13 +33,13 @@
 		}
 	}()
 	for n := range 300 {
-		if err := k.add(uint64(n+1), [][]byte{backendRecord(t, n)}); err != nil {
+		if err := state.apply(uint64(n+1), [][]byte{backendRecord(t, n)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	close(stop)
 	if name, seen := <-failed; seen {
-		t.Fatalf("row %s was in the view before it had a server", name)
+		t.Fatalf("row %s is in the view but has no server", name)
 	}
 }
 
--- a/instance/loads.go
+++ b/instance/loads.go
@@ -11,21 +11,22 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// cacheFeed remembers how far the cache events of each worker were read, and
-// what siblings have not been told yet.
-type cacheFeed struct {
-	mu    sync.Mutex
-	after map[string]int64
-	fresh map[string]*peer.ServerLoad
+// cacheChanges holds the sequence number of the last cache event read from each
+// engine, and the changes that have not been sent to siblings yet.
+type cacheChanges struct {
+	mu           sync.Mutex
+	lastSequence map[string]int64
+	unsent       map[string]*peer.ServerLoad
 }
 
-// mostPrefixes bounds the cache changes that one heartbeat carries for one
-// worker; the rest is left out, as a late or lost event would be.
-const mostPrefixes = 32
+// maxPrefixesPerHeartbeat bounds the cache changes that one heartbeat carries
+// for one engine. Changes beyond it are left out, which has the same effect as
+// a late or lost event.
+const maxPrefixesPerHeartbeat = 32
 
 func (i *Instance) readCacheEvents(ctx context.Context, backend *table.BackendView) {
 	i.caches.mu.Lock()
-	after := i.caches.after[backend.Name]
+	after := i.caches.lastSequence[backend.Name]
 	i.caches.mu.Unlock()
 	events, err := i.deps.Engines.CacheEvents(ctx, backend.Address, after)
 	server := i.fleet.Server(backend.Name)
@@ -34,32 +35,33 @@
 	}
 	i.caches.mu.Lock()
 	defer i.caches.mu.Unlock()
-	if i.caches.after == nil {
-		i.caches.after = make(map[string]int64)
-		i.caches.fresh = make(map[string]*peer.ServerLoad)
+	if i.caches.lastSequence == nil {
+		i.caches.lastSequence = make(map[string]int64)
+		i.caches.unsent = make(map[string]*peer.ServerLoad)
 	}
-	i.caches.after[backend.Name] = events[len(events)-1].Sequence
-	fresh := &peer.ServerLoad{}
+	i.caches.lastSequence[backend.Name] = events[len(events)-1].Sequence
+	changes := &peer.ServerLoad{}
 	for _, event := range events {
 		if event.Removed {
 			server.Prefixes.Remove(event.Prefix)
-			fresh.Dropped = append(fresh.Dropped, event.Prefix)
+			changes.Dropped = append(changes.Dropped, event.Prefix)
 			continue
 		}
 		server.Prefixes.Add(event.Prefix)
-		fresh.Cached = append(fresh.Cached, event.Prefix)
+		changes.Cached = append(changes.Cached, event.Prefix)
 	}
-	fresh.Cached = fresh.Cached[max(0, len(fresh.Cached)-mostPrefixes):]
-	fresh.Dropped = fresh.Dropped[max(0, len(fresh.Dropped)-mostPrefixes):]
-	i.caches.fresh[backend.Name] = fresh
+	changes.Cached = changes.Cached[max(0, len(changes.Cached)-maxPrefixesPerHeartbeat):]
+	changes.Dropped = changes.Dropped[max(0, len(changes.Dropped)-maxPrefixesPerHeartbeat):]
+	i.caches.unsent[backend.Name] = changes
 }
 
-// ownLoads returns the digests of the workers that this instance inspects.
+// ownLoads returns the load digests of the backend servers whose steward is
+// this instance.
 func (i *Instance) ownLoads() []peer.ServerLoad {
 	i.caches.mu.Lock()
 	defer i.caches.mu.Unlock()
 	var loads []peer.ServerLoad
-	for name := range i.keeper.View().Backends {
+	for name := range i.tables.View().Backends {
 		server := i.fleet.Server(name)
 		if server == nil || i.ownerOf(name) != i.self.Name {
 			continue
@@ -72,16 +74,17 @@
 			ID: route.ServerID(name), WaitingTokens: i.steward.Ahead(name, clock.Now()), Running: report.Running,
 			FreePieces: report.FreePieces, Leaving: report.Leaving,
 		}
-		if fresh := i.caches.fresh[name]; fresh != nil {
-			load.Cached, load.Dropped = fresh.Cached, fresh.Dropped
-			delete(i.caches.fresh, name)
+		if changes := i.caches.unsent[name]; changes != nil {
+			load.Cached, load.Dropped = changes.Cached, changes.Dropped
+			delete(i.caches.unsent, name)
 		}
 		loads = append(loads, load)
 	}
 	return loads
 }
 
-// observeLoads takes in the digests of a sibling's workers.
+// observeLoads applies the load digests that a sibling sent of its backend
+// servers.
 func (i *Instance) observeLoads(loads []peer.ServerLoad, now time.Time) {
 	for _, load := range loads {
 		server := i.fleet.ServerByID(load.ID)
--- a/instance/orders.go
+++ b/instance/orders.go
@@ -18,49 +18,51 @@
 )
 
 const (
-	// ordersKey, with the name of the cell, names the lease on orders to the
-	// engines of the cell.
-	ordersKey = "orders "
-	// ordersEvery is how often the lease and the engines are looked at.
+	// ordersKeyPrefix, followed by the name of the cell, is the key of the
+	// lease on orders to the engines of the cell.
+	ordersKeyPrefix = "orders "
+	// ordersEvery is how often the lease and the engines are checked.
 	ordersEvery = 500 * time.Millisecond
-	// fetchRate is the rate that is asked for one load, in bytes a second: a
-	// fifth of the store's, so that several pools can load at once.
-	fetchRate = 2_000_000_000
+	// loadBytesPerSecond is the rate requested for one load, in bytes per
+	// second. It is a fifth of the store's rate, so that several pools can load
+	// at once.
+	loadBytesPerSecond = 2_000_000_000
 )
 
-// orders is this instance's part in giving orders to engines. Only its loop
-// uses it.
+// orders holds this instance's candidacy for the lease on orders to engines.
+// Only the orders loop uses it.
 type orders struct {
 	key       string
 	candidate *lease.Candidate
 }
 
-// runOrders keeps up the lease, and while this instance holds it brings
-// engines to the weights that the table names.
+// runOrders maintains the lease. While this instance holds it, runOrders has
+// engines load the weights that the table names.
 func (i *Instance) runOrders(ctx context.Context) {
 	now := clock.Now()
-	if key := ordersKey + i.Cell(); key != i.orders.key {
+	if key := ordersKeyPrefix + i.Cell(); key != i.orders.key {
 		i.orders.key = key
 		i.orders.candidate = lease.NewCandidate(i.config.Lease, key, i.self.String(), now)
 	}
 	candidate := i.orders.candidate
-	candidate.Observe(i.keeper.Lease(i.orders.key), now)
-	i.keepLease(ctx, now)
+	candidate.Observe(i.tables.Lease(i.orders.key), now)
+	i.maintainLease(ctx, now)
 	token, ok := candidate.Valid(clock.Now())
 	i.ordersToken.Store(token)
 	i.ordersUntil.Store(candidate.Until().UnixNano())
 	if ok {
-		// Nothing is sent after the lease's end, however long this takes.
+		// Orders stop at the end of the lease, however long the reconciliation
+		// takes.
 		ctx, cancel := clock.WithDeadline(ctx, candidate.Until())
 		defer cancel()
 		i.reconcile(ctx, token)
 	}
 }
 
-// wantsOrders says whether the table names weights for any engine: without,
-// no lease is kept and no append spent on it.
-func (i *Instance) wantsOrders() bool {
-	for _, backend := range i.keeper.View().Backends {
+// tableNamesWeights reports whether the table names weights for any engine. If
+// it does not, no lease is held and no append is spent on one.
+func (i *Instance) tableNamesWeights() bool {
+	for _, backend := range i.tables.View().Backends {
 		if backend.Weights != "" {
 			return true
 		}
@@ -68,8 +70,8 @@
 	return false
 }
 
-func (i *Instance) keepLease(ctx context.Context, now time.Time) {
-	if i.draining.Load() || !i.wantsOrders() {
+func (i *Instance) maintainLease(ctx context.Context, now time.Time) {
+	if i.draining.Load() || !i.tableNamesWeights() {
 		return
 	}
 	claim, ok := i.orders.candidate.Next(now, i.ownerOf(i.orders.key) == i.self.Name)
@@ -78,25 +80,26 @@
 	}
 	record, err := table.LeaseRecord(claim)
 	if err != nil {
-		klog.ErrorS(err, "Lease cannot be claimed")
+		klog.ErrorS(err, "Failed to create the lease record")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
 	if _, err := i.deps.Log.Append(ctx, record); err != nil {
-		klog.V(1).InfoS("Lease was not claimed", "err", err)
+		klog.V(1).InfoS("Failed to append the lease record to the log", "err", err)
 	}
 }
 
-// reconcile orders at most one engine of each pool at a time to load what the
-// table names: the others go on serving. It reads the engines back each time,
-// so that an order that somebody else gave too late is put right.
+// reconcile orders at most one engine of each pool at a time to load the
+// weights that the table names, so that the others go on serving. It reads the
+// state of the engines each time. This corrects the effect of an order that
+// another instance sent too late.
 func (i *Instance) reconcile(ctx context.Context, token uint64) {
-	backends := slices.SortedFunc(maps.Values(i.keeper.View().Backends), func(a, b *table.BackendView) int {
+	backends := slices.SortedFunc(maps.Values(i.tables.View().Backends), func(a, b *table.BackendView) int {
 		return cmp.Compare(a.Name, b.Name)
 	})
 	busy := make(map[string]bool)
-	wrong := make(map[string]*table.BackendView)
+	outdated := make(map[string]*table.BackendView)
 	for _, backend := range backends {
 		if backend.Weights == "" || backend.Role == table.RolePlain {
 			continue
@@ -107,25 +110,25 @@
 		case load.Loading == backend.Weights:
 			busy[backend.Pool] = true
 		case load.Weights != backend.Weights || load.Loading != "":
-			if wrong[backend.Pool] == nil {
-				wrong[backend.Pool] = backend
+			if outdated[backend.Pool] == nil {
+				outdated[backend.Pool] = backend
 			}
 		}
 	}
-	for pool, backend := range wrong {
+	for pool, backend := range outdated {
 		if !busy[pool] {
-			i.order(ctx, backend, token)
+			i.sendOrder(ctx, backend, token)
 		}
 	}
 }
 
-func (i *Instance) order(ctx context.Context, backend *table.BackendView, token uint64) {
-	ticket, err := i.deps.Weights.Reserve(ctx, backend.Weights, fetchRate)
+func (i *Instance) sendOrder(ctx context.Context, backend *table.BackendView, token uint64) {
+	ticket, err := i.deps.Weights.Reserve(ctx, backend.Weights, loadBytesPerSecond)
 	if errors.Is(err, weightstore.ErrBusy) {
 		return
 	}
 	if err != nil {
-		klog.V(1).InfoS("No ticket for weights", "server", backend.Name, "weights", backend.Weights, "err", err)
+		klog.V(1).InfoS("Failed to reserve a transfer from the weight store", "server", backend.Name, "weights", backend.Weights, "err", err)
 		return
 	}
 	if _, ok := i.orders.candidate.Valid(clock.Now()); !ok {
@@ -135,14 +138,14 @@
 		Weights: backend.Weights, Token: token, BytesPerSecond: ticket.BytesPerSecond,
 	})
 	if err != nil {
-		klog.V(1).InfoS("Order to load weights was not taken", "server", backend.Name, "weights", backend.Weights, "token", token, "err", err)
+		klog.V(1).InfoS("Failed to order an engine to load weights", "server", backend.Name, "weights", backend.Weights, "token", token, "err", err)
 		return
 	}
-	klog.InfoS("Order to load weights", "server", backend.Name, "weights", backend.Weights, "token", token)
+	klog.InfoS("Ordered an engine to load weights", "server", backend.Name, "weights", backend.Weights, "token", token)
 }
 
-// HoldsOrders says whether this instance may give orders to engines now, and
-// with which fencing token.
+// HoldsOrders reports whether this instance may send orders to engines now, and
+// returns its fencing token.
 func (i *Instance) HoldsOrders() (token uint64, ok bool) {
 	return i.ordersToken.Load(), i.ordersUntil.Load() > clock.Now().UnixNano()
 }
--- a/instance/orders_test.go
+++ b/instance/orders_test.go
@@ -10,20 +10,20 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// lateOrders delays orders after the moment at which their sender last looked
-// at its lease, as a pause of the process does.
-type lateOrders struct {
+// delayedOrders delays orders after their sender last checked its lease, as a
+// suspension of the process does.
+type delayedOrders struct {
 	engine.Client
-	late atomic.Int64
+	delay atomic.Int64
 }
 
-func (l *lateOrders) Order(_ context.Context, address string, order engine.WeightsOrder) error {
-	time.Sleep(time.Duration(l.late.Load()))
+func (l *delayedOrders) Order(_ context.Context, address string, order engine.WeightsOrder) error {
+	time.Sleep(time.Duration(l.delay.Load()))
 	return l.Client.Order(context.Background(), address, order)
 }
 
-// weights makes an edit that names the weights of both decode engines.
-func weights(id string, base uint64, version string) table.Edit {
+// weightsEdit returns an edit that names the weights of both decode engines.
+func weightsEdit(id string, base uint64, version string) table.Edit {
 	edit := table.Edit{ID: id, Base: base, Author: "ana", Reason: "session"}
 	for _, name := range []string{"write-1", "write-2"} {
 		key := table.RowKey{Kind: table.Backend, Name: name}
@@ -32,7 +32,7 @@
 	return edit
 }
 
-func (s *session) holders() (holding []*node) {
+func (s *session) leaseHolders() (holding []*node) {
 	for _, name := range []string{"sabana-1", "heredia-1"} {
 		if n, runs := s.nodes[name]; runs {
 			if _, ok := n.HoldsOrders(); ok {
@@ -43,85 +43,87 @@
 	return holding
 }
 
-// watchHolders looks at the lease for a while, and says when it changes hands
-// or is held twice.
-func (s *session) watchHolders(d time.Duration) {
+// watchLease observes the lease for a while, and records each change of the
+// holder and each moment with two holders.
+func (s *session) watchLease(d time.Duration) {
 	last := ""
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		holding := s.holders()
+		holding := s.leaseHolders()
 		if len(holding) > 1 {
-			s.say("TWO HOLDERS")
+			s.recordf("TWO HOLDERS")
 		}
 		now := "nobody"
 		if len(holding) == 1 {
 			now = holding[0].Self().Name
 		}
 		if now != last {
-			s.say("the lease on orders is held by %s", now)
+			s.recordf("the lease on orders is held by %s", now)
 			last = now
 		}
 	}
 }
 
-func (s *session) loadedWeights() {
+func (s *session) recordLoadedWeights() {
 	for _, address := range []string{decodeOne, decodeTwo} {
 		e := s.farm.Engine(address)
 		ledger := e.Ledger()
-		s.say("engine %s has %q: %d orders taken, %d stale refused, %d stale taken",
+		s.recordf("engine %s has %q: %d orders taken, %d stale refused, %d stale taken",
 			address, e.Weights(), ledger.Orders, ledger.StaleRefused, ledger.StaleTaken)
 	}
 }
 
-// The table names weights; one instance at a time orders one engine of the
-// pool after the other.
+// TestSessionWeightsAreLoaded: the table names weights. One instance at a time
+// orders the engines of the pool, one engine after the other.
 func TestSessionWeightsAreLoaded(t *testing.T) {
-	play(t, func(s *session) {
-		s.submit(s.nodes["sabana-1"], weights("v1", 1, "v1"))
-		s.watchHolders(40 * time.Second)
-		s.loadedWeights()
+	runSession(t, func(s *session) {
+		s.submit(s.nodes["sabana-1"], weightsEdit("v1", 1, "v1"))
+		s.watchLease(40 * time.Second)
+		s.recordLoadedWeights()
 	})
 }
 
-// The holder of the lease dies; the other takes over.
+// TestSessionHolderOfOrdersDies: the holder of the lease dies, and the other
+// instance takes over.
 func TestSessionHolderOfOrdersDies(t *testing.T) {
-	play(t, func(s *session) {
-		s.submit(s.nodes["sabana-1"], weights("v1", 1, "v1"))
-		s.watchHolders(30 * time.Second)
-		s.lose(s.holders()[0].Self().Name)
+	runSession(t, func(s *session) {
+		s.submit(s.nodes["sabana-1"], weightsEdit("v1", 1, "v1"))
+		s.watchLease(30 * time.Second)
+		s.killAndUnlist(s.leaseHolders()[0].Self().Name)
 		for _, n := range s.nodes {
-			s.submit(n, weights("v2", n.Table().Revision, "v2"))
+			s.submit(n, weightsEdit("v2", n.Table().Revision, "v2"))
 		}
-		s.watchHolders(70 * time.Second)
-		s.loadedWeights()
+		s.watchLease(70 * time.Second)
+		s.recordLoadedWeights()
 	})
 }
 
-// The holder is paused between looking at its lease and sending an order,
-// which arrives when another has taken over and ordered something newer. An
-// engine that fences refuses the old token.
+// TestSessionPausePastTheLease: the holder is suspended between the check of
+// its lease and the sending of an order. The order arrives after another
+// instance has taken over and ordered newer weights. An engine that checks
+// fencing tokens refuses the old token.
 func TestSessionPausePastTheLease(t *testing.T) {
-	play(t, func(s *session) { s.pausePastTheLease() })
+	runSession(t, func(s *session) { s.pauseHolderPastLease() })
 }
 
-// The same with engines that ignore the token: they take the late order, and
-// are put right.
+// TestSessionPausePastTheLeaseUnfenced: the same with engines that ignore the
+// token. They accept the late order, and the new holder corrects its effect.
 func TestSessionPausePastTheLeaseUnfenced(t *testing.T) {
-	play(t, func(s *session) {
+	runSession(t, func(s *session) {
 		s.farm.Engine(decodeOne).SetFences(false)
 		s.farm.Engine(decodeTwo).SetFences(false)
-		s.pausePastTheLease()
+		s.pauseHolderPastLease()
 	})
 }
 
-func (s *session) pausePastTheLease() {
-	s.submit(s.nodes["sabana-1"], weights("v1", 1, "v1"))
-	s.watchHolders(40 * time.Second)
-	holder := s.holders()[0]
-	s.say("orders of %s are late from now on", holder.Self().Name)
-	holder.late.late.Store(int64(90 * time.Second))
-	s.submit(holder, weights("v2", holder.Table().Revision, "v2"))
-	s.watchHolders(40 * time.Second)
-	s.submit(holder, weights("v3", holder.Table().Revision, "v3"))
-	s.watchHolders(80 * time.Second)
-	s.loadedWeights()
+func (s *session) pauseHolderPastLease() {
+	s.submit(s.nodes["sabana-1"], weightsEdit("v1", 1, "v1"))
+	s.watchLease(40 * time.Second)
+	holder := s.leaseHolders()[0]
+	s.recordf("orders of %s are late from now on", holder.Self().Name)
+	holder.orders.delay.Store(int64(90 * time.Second))
+	s.submit(holder, weightsEdit("v2", holder.Table().Revision, "v2"))
+	s.watchLease(40 * time.Second)
+	s.submit(holder, weightsEdit("v3", holder.Table().Revision, "v3"))
+	s.watchLease(80 * time.Second)
+	s.recordLoadedWeights()
 }
--- a/instance/orphans.go
+++ b/instance/orphans.go
@@ -13,13 +13,13 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// orphanGrace is how long a request is at an engine before its home is asked
-// whether it still works on it.
+// orphanGrace is how long an engine holds a request before the request's home
+// is queried whether it still works on it.
 const orphanGrace = 2 * time.Second
 
-// cancelOrphans cancels what nobody works on any more: requests whose home is
-// dead, and those that a living home has given up, as after a cancel that
-// overtook its order.
+// cancelOrphans cancels requests that no instance works on any more. These are
+// requests whose home is dead, and requests that a live home has given up, for
+// example because the cancel arrived at the engine before the request.
 func (i *Instance) cancelOrphans(ctx context.Context, backend *table.BackendView, held []engine.Held) {
 	if !i.config.Request.Protect.Orphans {
 		return
@@ -27,7 +27,7 @@
 	members := i.members.View()
 	lingering := make(map[operation.Member][]engine.Held)
 	now := clock.Now()
-	i.held.retain(backend.Name, held)
+	i.heldTimes.retain(backend.Name, held)
 	for _, h := range held {
 		home, ok := operation.ParseMember(h.Home)
 		switch {
@@ -36,12 +36,12 @@
 			i.cancelOrphan(ctx, backend, h)
 		case home != i.self && !members.Knows(home):
 			i.members.Introduce(home, now)
-		case i.held.since(backend.Name, h, now) >= orphanGrace:
+		case i.heldTimes.heldFor(backend.Name, h, now) >= orphanGrace:
 			lingering[home] = append(lingering[home], h)
 		}
 	}
-	for home, its := range lingering {
-		i.cancelAbandoned(ctx, backend, home, its)
+	for home, requests := range lingering {
+		i.cancelAbandoned(ctx, backend, home, requests)
 	}
 }
 
@@ -51,45 +51,45 @@
 	}
 }
 
-// cancelAbandoned asks a living home about its lingering requests, and cancels
-// those that it says have ended.
-func (i *Instance) cancelAbandoned(ctx context.Context, backend *table.BackendView, home operation.Member, its []engine.Held) {
-	ask := &peer.AskClaims{Home: home}
-	byClaim := make(map[peer.Claim]engine.Held, len(its))
-	for _, h := range its {
+// cancelAbandoned queries a live home about requests that an engine has held
+// for orphanGrace, and cancels those that the home reports as ended.
+func (i *Instance) cancelAbandoned(ctx context.Context, backend *table.BackendView, home operation.Member, requests []engine.Held) {
+	query := &peer.AskClaims{Home: home}
+	byClaim := make(map[peer.Claim]engine.Held, len(requests))
+	for _, h := range requests {
 		claim := peer.Claim{RequestID: h.RequestID, Attempt: h.Number}
-		ask.Claims = append(ask.Claims, claim)
+		query.Claims = append(query.Claims, claim)
 		byClaim[claim] = h
 	}
-	for _, claim := range i.askClaims(ctx, ask) {
-		if h, asked := byClaim[claim]; asked {
+	for _, claim := range i.queryClaims(ctx, query) {
+		if h, queried := byClaim[claim]; queried {
 			i.cancelOrphan(ctx, backend, h)
 		}
 	}
 }
 
-func (i *Instance) askClaims(ctx context.Context, ask *peer.AskClaims) []peer.Claim {
-	if ask.Home == i.self {
-		return i.claimsHere(ask).Abandoned
+func (i *Instance) queryClaims(ctx context.Context, query *peer.AskClaims) []peer.Claim {
+	if query.Home == i.self {
+		return i.abandonedClaims(query).Abandoned
 	}
-	sibling, known := i.members.View().Find(ask.Home.Name)
-	if !known || sibling.Member() != ask.Home {
+	sibling, known := i.members.View().Find(query.Home.Name)
+	if !known || sibling.Member() != query.Home {
 		return nil
 	}
-	answer, err := i.deps.Peers.Call(ctx, sibling.Peer, &peer.Message{AskClaims: ask})
-	if err != nil || answer.Claims == nil || answer.Claims.Home != ask.Home {
+	answer, err := i.deps.Peers.Call(ctx, sibling.Peer, &peer.Message{AskClaims: query})
+	if err != nil || answer.Claims == nil || answer.Claims.Home != query.Home {
 		return nil
 	}
 	return answer.Claims.Abandoned
 }
 
-// claimsHere says which of the attempts have ended.
-func (i *Instance) claimsHere(ask *peer.AskClaims) *peer.Claims {
+// abandonedClaims returns the attempts of a query that have ended.
+func (i *Instance) abandonedClaims(query *peer.AskClaims) *peer.Claims {
 	claims := &peer.Claims{Home: i.self}
-	if ask.Home != i.self {
+	if query.Home != i.self {
 		return claims
 	}
-	for _, claim := range ask.Claims {
+	for _, claim := range query.Claims {
 		if !i.Runner.Claims(route.HoldKey{RequestID: claim.RequestID, Attempt: claim.Attempt}) {
 			claims.Abandoned = append(claims.Abandoned, claim)
 		}
@@ -97,40 +97,40 @@
 	return claims
 }
 
-// heldSince remembers since when each engine holds a request.
-type heldSince struct {
-	mu    sync.Mutex
-	first map[string]map[route.HoldKey]time.Time
+// heldTimes records since when each engine holds a request.
+type heldTimes struct {
+	mu        sync.Mutex
+	firstHeld map[string]map[route.HoldKey]time.Time
 }
 
 func holdKeyOf(h engine.Held) route.HoldKey {
 	return route.HoldKey{RequestID: h.RequestID, Attempt: h.Number}
 }
 
-// retain forgets what the engine no longer holds.
-func (s *heldSince) retain(worker string, held []engine.Held) {
+// retain removes the requests that the engine no longer holds.
+func (s *heldTimes) retain(server string, held []engine.Held) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.first == nil {
-		s.first = make(map[string]map[route.HoldKey]time.Time)
+	if s.firstHeld == nil {
+		s.firstHeld = make(map[string]map[route.HoldKey]time.Time)
 	}
-	before := s.first[worker]
+	before := s.firstHeld[server]
 	now := make(map[route.HoldKey]time.Time, len(held))
 	for _, h := range held {
 		if at, seen := before[holdKeyOf(h)]; seen {
 			now[holdKeyOf(h)] = at
 		}
 	}
-	s.first[worker] = now
+	s.firstHeld[server] = now
 }
 
-// since returns how long the engine has been seen to hold the request.
-func (s *heldSince) since(worker string, h engine.Held, now time.Time) time.Duration {
+// heldFor returns how long the engine has been observed to hold the request.
+func (s *heldTimes) heldFor(server string, h engine.Held, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, seen := s.first[worker][holdKeyOf(h)]
+	at, seen := s.firstHeld[server][holdKeyOf(h)]
 	if !seen {
-		s.first[worker][holdKeyOf(h)] = now
+		s.firstHeld[server][holdKeyOf(h)] = now
 		return 0
 	}
 	return now.Sub(at)
--- a/instance/pairs_test.go
+++ b/instance/pairs_test.go
@@ -16,83 +16,84 @@
 	"github.com/mastwheel/mastwheel/standin"
 )
 
-// trouble is one fault of a pair.
-type trouble struct {
+// fault is one fault of a pair.
+type fault struct {
 	name   string
-	strike func(*pairSession)
+	inject func(*faultSession)
 }
 
-var troubles = []trouble{
-	{"engine crashes", func(p *pairSession) { p.farm.Engine(decodeOne).Crash() }},
-	{"prefill engine crashes", func(p *pairSession) { p.farm.Engine(prefillAddress).Crash() }},
-	{"engine down", func(p *pairSession) { p.forAWhile(p.farm.Engine(decodeOne).Faults.Down.Store) }},
-	{"engine leaves", func(p *pairSession) { p.forAWhile(p.farm.Engine(decodeOne).Faults.Leaving.Store) }},
-	{"transfer stalls", func(p *pairSession) { p.farm.Engine(decodeOne).Faults.StallImports.Add(2) }},
-	{"stream breaks", func(p *pairSession) { p.farm.Engine(decodeOne).Faults.BreakStreams.Add(2) }},
-	{"tokens repeat and mix", func(p *pairSession) {
+var faults = []fault{
+	{"engine crashes", func(p *faultSession) { p.farm.Engine(decodeOne).Crash() }},
+	{"prefill engine crashes", func(p *faultSession) { p.farm.Engine(prefillAddress).Crash() }},
+	{"engine down", func(p *faultSession) { p.forTwoSeconds(p.farm.Engine(decodeOne).Faults.Down.Store) }},
+	{"engine leaves", func(p *faultSession) { p.forTwoSeconds(p.farm.Engine(decodeOne).Faults.Leaving.Store) }},
+	{"transfer stalls", func(p *faultSession) { p.farm.Engine(decodeOne).Faults.StallImports.Add(2) }},
+	{"stream breaks", func(p *faultSession) { p.farm.Engine(decodeOne).Faults.BreakStreams.Add(2) }},
+	{"tokens repeat and mix", func(p *faultSession) {
 		p.farm.Engine(decodeOne).Faults.RepeatTokens.Add(4)
 		p.farm.Engine(decodeOne).Faults.ForeignTokens.Add(4)
 	}},
-	{"cancel replies lost", func(p *pairSession) { p.farm.Engine(decodeOne).Faults.LoseCancelReplies.Add(4) }},
-	{"call answers lost", func(p *pairSession) { p.plain.LoseReplies.Add(2) }},
-	{"calls refused", func(p *pairSession) { p.plain.Refuse.Add(2) }},
-	{"log down", func(p *pairSession) { p.forAWhile(p.log.Down.Store) }},
-	{"callers leave", func(p *pairSession) { p.leave() }},
-	{"home dies", func(p *pairSession) { p.loseNode("sabana-1") }},
-	{"home restarts", func(p *pairSession) { p.restartNode("sabana-1", "sabana") }},
-	{"home freezes", func(p *pairSession) { p.freeze("sabana-1") }},
-	{"witness dies", func(p *pairSession) { p.loseNode("heredia-1") }},
-	{"witness restarts", func(p *pairSession) { p.restartNode("heredia-1", "heredia") }},
-	{"home and witness are parted", func(p *pairSession) {
+	{"cancel replies lost", func(p *faultSession) { p.farm.Engine(decodeOne).Faults.LoseCancelReplies.Add(4) }},
+	{"call answers lost", func(p *faultSession) { p.plain.LoseReplies.Add(2) }},
+	{"calls refused", func(p *faultSession) { p.plain.Refuse.Add(2) }},
+	{"log down", func(p *faultSession) { p.forTwoSeconds(p.log.Down.Store) }},
+	{"callers leave", func(p *faultSession) { p.cancelCallers() }},
+	{"home dies", func(p *faultSession) { p.killNode("sabana-1") }},
+	{"home restarts", func(p *faultSession) { p.restartNode("sabana-1", "sabana") }},
+	{"home freezes", func(p *faultSession) { p.freeze("sabana-1") }},
+	{"witness dies", func(p *faultSession) { p.killNode("heredia-1") }},
+	{"witness restarts", func(p *faultSession) { p.restartNode("heredia-1", "heredia") }},
+	{"home and witness are parted", func(p *faultSession) {
 		p.network.Cut("10.1.0.1:1 sabana-1", "10.1.0.1:1 heredia-1", true)
 		time.AfterFunc(3*time.Second, func() { p.network.Cut("10.1.0.1:1 sabana-1", "10.1.0.1:1 heredia-1", false) })
 	}},
 }
 
-// pairSession is a session in which two faults strike while calls and model
-// requests are under way.
-type pairSession struct {
+// faultSession is a session in which two faults are injected while calls and
+// model requests are in progress.
+type faultSession struct {
 	*session
-	mu      sync.Mutex
-	home    *node
-	third   *node
-	callers context.Context
-	leave   context.CancelFunc
-	// told is the last outcome that the caller of an operation was told.
-	told   map[string]reason.Outcome
-	wrong  []string
-	active sync.WaitGroup
+	mu            sync.Mutex
+	home          *node
+	bystander     *node
+	callers       context.Context
+	cancelCallers context.CancelFunc
+	// outcomes holds the last outcome that the caller of each operation
+	// received.
+	outcomes   map[string]reason.Outcome
+	violations []string
+	active     sync.WaitGroup
 }
 
-func (p *pairSession) forAWhile(set func(bool)) {
+func (p *faultSession) forTwoSeconds(set func(bool)) {
 	set(true)
 	time.AfterFunc(2*time.Second, func() { set(false) })
 }
 
-func (p *pairSession) loseNode(name string) {
+func (p *faultSession) killNode(name string) {
 	if _, runs := p.nodes[name]; runs {
-		p.lose(name)
+		p.killAndUnlist(name)
 	}
 }
 
-func (p *pairSession) restartNode(name, zone string) {
+func (p *faultSession) restartNode(name, zone string) {
 	if n, runs := p.nodes[name]; runs {
 		n.stop()
 	}
 	p.start(name, zone)
 }
 
-func (p *pairSession) freeze(name string) {
+func (p *faultSession) freeze(name string) {
 	if n, runs := p.nodes[name]; runs {
-		n.line.Pause()
-		time.AfterFunc(4*time.Second, n.line.Resume)
+		n.lifeline.Pause()
+		time.AfterFunc(4*time.Second, n.lifeline.Resume)
 	}
 }
 
-// call sends a hold to the home; its caller, when told nothing certain, asks
-// the witness and then whoever lives.
-func (p *pairSession) call(nonce string, witness *node) {
-	id := p.newID(p.home, witness, nonce)
+// startCall sends a call with an operation id to the home. Until its outcome is
+// certain, the caller queries the witness and a third instance in turn.
+func (p *faultSession) startCall(nonce string, witness *node) {
+	id := p.newOperationID(p.home, witness, nonce)
 	p.active.Go(func() {
 		_, result := p.home.Runner.RunPlain(p.ctx, request.Plain{
 			ID: p.home.NewRequestID(), Service: "plate-desk", Operation: &id,
@@ -100,41 +101,42 @@
 				{Name: standin.HeaderOperation, Value: id.String()},
 			}},
 		})
-		// What a dead home says reaches nobody.
-		if p.home.line.Context().Err() == nil {
-			p.tell(id, result.Outcome)
+		// An answer of a dead home reaches no caller.
+		if p.home.lifeline.Context().Err() == nil {
+			p.recordOutcome(id, result.Outcome)
 		}
 	})
 	p.active.Go(func() {
 		for n := range 12 {
 			time.Sleep(time.Duration(50+100*n) * time.Millisecond)
-			asked := p.third
-			if n%2 == 0 && witness.line.Context().Err() == nil {
-				p.tell(id, witness.Witnessed(id).Outcome)
+			queried := p.bystander
+			if n%2 == 0 && witness.lifeline.Context().Err() == nil {
+				p.recordOutcome(id, witness.Witnessed(id).Outcome)
 				continue
 			}
-			p.tell(id, asked.AskOperation(p.ctx, id).Outcome)
+			p.recordOutcome(id, queried.AskOperation(p.ctx, id).Outcome)
 		}
 	})
 }
 
-// tell notes an outcome; once told "not run" or "done", no other may follow.
-func (p *pairSession) tell(id operation.ID, outcome reason.Outcome) {
+// recordOutcome records an outcome that a caller received. After "not run" or
+// "done" no other outcome may follow.
+func (p *faultSession) recordOutcome(id operation.ID, outcome reason.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := p.told[id.String()]
+	before := p.outcomes[id.String()]
 	if before != "" && before != reason.Unknown && outcome != reason.Unknown && outcome != before {
-		p.wrong = append(p.wrong, fmt.Sprintf("%s was told %s, then %s", id.Nonce, before, outcome))
+		p.violations = append(p.violations, fmt.Sprintf("the outcome of %s was reported as %s, then as %s", id.Nonce, before, outcome))
 	}
 	if outcome != reason.Unknown || before == "" {
-		p.told[id.String()] = outcome
+		p.outcomes[id.String()] = outcome
 	}
 }
 
-func (p *pairSession) model(tokens int) {
+func (p *faultSession) startModelRequest(tokens int) {
 	home := p.home
 	p.active.Go(func() {
-		sink := &gatherer{}
+		sink := &answerRecorder{}
 		text := prompt(2400) + fmt.Sprint(tokens)
 		result := home.Runner.RunModel(p.callers, request.Model{
 			ID: home.NewRequestID(), Model: "dossier", Prompt: text, MaxTokens: tokens,
@@ -142,98 +144,100 @@
 		if sink.text.String() != standin.Answer(text, result.Tokens) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.wrong = append(p.wrong, "a caller received a wrong answer")
+			p.violations = append(p.violations, "a caller received a wrong answer")
 		}
 	})
 }
 
-// check compares what callers were told with the stand-ins' ledgers.
-func (p *pairSession) check() []string {
-	wrong := p.wrong
+// check compares the outcomes that callers received with the ledgers of the
+// stand-ins.
+func (p *faultSession) check() []string {
+	violations := p.violations
 	runs := p.plain.Runs()
-	for id, outcome := range p.told {
+	for id, outcome := range p.outcomes {
 		switch {
 		case runs[id] > 1:
-			wrong = append(wrong, fmt.Sprintf("a call ran %d times", runs[id]))
+			violations = append(violations, fmt.Sprintf("a call ran %d times", runs[id]))
 		case outcome == reason.NotRun && runs[id] > 0:
-			wrong = append(wrong, "a call was told not run and ran")
+			violations = append(violations, "a call was reported as not run but ran")
 		case outcome == reason.Done && runs[id] == 0:
-			wrong = append(wrong, "a call was told done and did not run")
+			violations = append(violations, "a call was reported as done but did not run")
 		}
 	}
 	for _, address := range []string{decodeOne, decodeTwo} {
 		if held := p.farm.Engine(address).Ledger().HeldRequests; len(held) > 0 {
-			wrong = append(wrong, fmt.Sprintf("%s still holds %v", address, held))
+			violations = append(violations, fmt.Sprintf("%s still holds %v", address, held))
 		}
 	}
-	return wrong
+	return violations
 }
 
-// goroutinesOfPair is about how many a pair's session has: eight at a time had 348.
-const goroutinesOfPair = 45
+// goroutinesPerPair is about how many goroutines one session uses: eight
+// sessions at a time had 348.
+const goroutinesPerPair = 45
 
-// pairsAtATime bounds how many pairs are played at a time.
-func pairsAtATime() int {
+// maxConcurrentPairs bounds how many pairs run at a time.
+func maxConcurrentPairs() int {
 	if racedetector.On {
-		return racedetector.MostGoroutines / goroutinesOfPair
+		return racedetector.MostGoroutines / goroutinesPerPair
 	}
-	return len(troubles)
+	return len(faults)
 }
 
-// TestPairsOfTroubles strikes with every ordered pair of faults, one twice
-// included, at two distances.
-func TestPairsOfTroubles(t *testing.T) {
-	places := make(chan struct{}, pairsAtATime())
-	for _, first := range troubles {
+// TestFaultPairs injects every ordered pair of faults, including each fault
+// twice, at two intervals.
+func TestFaultPairs(t *testing.T) {
+	slots := make(chan struct{}, maxConcurrentPairs())
+	for _, first := range faults {
 		t.Run(first.name, func(t *testing.T) {
 			t.Parallel()
-			places <- struct{}{}
-			defer func() { <-places }()
-			for _, second := range troubles {
-				playApart(t, first, second, 0)
-				playApart(t, first, second, 700*time.Millisecond)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			for _, second := range faults {
+				checkFaultPair(t, first, second, 0)
+				checkFaultPair(t, first, second, 700*time.Millisecond)
 			}
 		})
 	}
 }
 
-func playApart(t *testing.T, first, second trouble, apart time.Duration) {
+func checkFaultPair(t *testing.T, first, second fault, interval time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, wrong := range playPair(t, first, second, apart) {
-			t.Errorf("%s, then %s after %s: %s", first.name, second.name, apart, wrong)
+		for _, violation := range runFaultPair(t, first, second, interval) {
+			t.Errorf("%s, then %s after %s: %s", first.name, second.name, interval, violation)
 		}
 	})
 }
 
-// lastsLonger is an answer, in tokens, that only a cancel ends before the
-// check: an engine takes about 95 s for it.
-const lastsLonger = 5000
+// longAnswerTokens is the length of an answer that only a cancel ends before
+// the check. An engine takes about 95 s for it.
+const longAnswerTokens = 5000
 
-func playPair(t *testing.T, first, second trouble, apart time.Duration) []string {
-	p := &pairSession{session: newSession(t), told: make(map[string]reason.Outcome)}
-	p.callers, p.leave = context.WithCancel(p.ctx)
+func runFaultPair(t *testing.T, first, second fault, interval time.Duration) []string {
+	p := &faultSession{session: newSession(t), outcomes: make(map[string]reason.Outcome)}
+	p.callers, p.cancelCallers = context.WithCancel(p.ctx)
 	p.home = p.start("sabana-1", "sabana")
 	witness := p.start("heredia-1", "heredia")
-	p.third = p.start("cartago-1", "cartago")
+	p.bystander = p.start("cartago-1", "cartago")
 	time.Sleep(3 * time.Second)
-	p.model(lastsLonger)
-	p.model(30)
-	p.call("early", witness)
+	p.startModelRequest(longAnswerTokens)
+	p.startModelRequest(30)
+	p.startCall("early", witness)
 	time.Sleep(131 * time.Millisecond)
-	p.model(25)
-	first.strike(p)
-	p.call("middle", witness)
-	time.Sleep(apart)
-	second.strike(p)
-	p.call("late", witness)
+	p.startModelRequest(25)
+	first.inject(p)
+	p.startCall("middle", witness)
+	time.Sleep(interval)
+	second.inject(p)
+	p.startCall("late", witness)
 	time.Sleep(5 * time.Second)
-	p.leave()
+	p.cancelCallers()
 	p.active.Wait()
 	time.Sleep(30 * time.Second)
-	wrong := p.check()
+	violations := p.check()
 	for _, n := range p.nodes {
 		n.stop()
 	}
 	time.Sleep(time.Minute)
-	return wrong
+	return violations
 }
--- a/instance/session_test.go
+++ b/instance/session_test.go
@@ -27,8 +27,8 @@
 	"github.com/mastwheel/mastwheel/trace"
 )
 
-// session is a whole small system in memory on a virtual clock. What happens
-// in it goes into a transcript, which a golden file holds.
+// session is a small system in memory on a virtual clock. Its events are
+// recorded in a transcript, which is compared with a golden file.
 type session struct {
 	t       *testing.T
 	ctx     context.Context
@@ -46,28 +46,28 @@
 // node is one instance of a session.
 type node struct {
 	*instance.Instance
-	line *standin.Lifeline
-	port *standin.Port
-	log  *partedLog
-	late *lateOrders
-	done chan struct{}
+	lifeline *standin.Lifeline
+	port     *standin.Port
+	log      *disconnectableLog
+	orders   *delayedOrders
+	done     chan struct{}
 }
 
-// partedLog is the log as one instance reaches it.
-type partedLog struct {
+// disconnectableLog is the log as one instance reaches it.
+type disconnectableLog struct {
 	oplog.Client
-	cut atomic.Bool
+	disconnected atomic.Bool
 }
 
-func (l *partedLog) Read(ctx context.Context, from uint64, most int) (oplog.Batch, error) {
-	if l.cut.Load() {
+func (l *disconnectableLog) Read(ctx context.Context, from uint64, most int) (oplog.Batch, error) {
+	if l.disconnected.Load() {
 		return oplog.Batch{}, oplog.ErrUnavailable
 	}
 	return l.Client.Read(ctx, from, most)
 }
 
-// cutOffLog keeps the instance from reading the log any more.
-func (n *node) cutOffLog() { n.log.cut.Store(true) }
+// disconnectLog makes further reads of the log by the instance fail.
+func (n *node) disconnectLog() { n.log.disconnected.Store(true) }
 
 const (
 	prefillAddress = standin.SamplePrefill
@@ -75,9 +75,9 @@
 	decodeTwo      = standin.SampleDecodeTwo
 )
 
-// play runs a session with two instances and compares its transcript with the
-// golden file of the test's name.
-func play(t *testing.T, script func(*session)) {
+// runSession runs a session with two instances and compares its transcript with
+// the golden file of the test's name.
+func runSession(t *testing.T, script func(*session)) {
 	t.Helper()
 	var transcript string
 	synctest.Test(t, func(t *testing.T) {
@@ -87,7 +87,7 @@
 		time.Sleep(3 * time.Second)
 		script(s)
 		time.Sleep(10 * time.Second)
-		s.ledgers()
+		s.recordLedgers()
 		for _, n := range s.nodes {
 			n.stop()
 		}
@@ -120,90 +120,91 @@
 
 func (s *session) append(edit table.Edit) {
 	if _, err := s.log.Append(s.ctx, recordOf(s.t, edit)); err != nil {
-		s.say("append of %s: %v", edit.ID, err)
+		s.recordf("append of %s: %v", edit.ID, err)
 	}
 }
 
-// start brings an instance up, or a new run of it.
+// start starts an instance, or a new run of it.
 func (s *session) start(name, zone string) *node {
 	address := "10.1.0.1:1 " + name
 	port := s.network.Port(address)
 	config := instance.DefaultRegion()
 	config.Name, config.Zone, config.Caller, config.Peer = name, zone, name+":80", address
 	random := rand.New(rand.NewPCG(1, uint64(len(name))))
-	n := &node{line: standin.NewLifeline(), port: port, log: &partedLog{Client: s.log}, done: make(chan struct{})}
-	n.late = &lateOrders{Client: s.farm}
+	n := &node{lifeline: standin.NewLifeline(), port: port, log: &disconnectableLog{Client: s.log}, done: make(chan struct{})}
+	n.orders = &delayedOrders{Client: s.farm}
 	n.Instance = instance.New(config, instance.Deps{
-		Engines: n.line.Engines(n.late), Services: n.line.Services(s.plain),
-		Log: n.line.Log(n.log), List: n.line.List(s.list), Peers: n.line.Peers(port), Weights: s.weights,
+		Engines: n.lifeline.Engines(n.orders), Services: n.lifeline.Services(s.plain),
+		Log: n.lifeline.Log(n.log), List: n.lifeline.List(s.list), Peers: n.lifeline.Peers(port), Weights: s.weights,
 		Random: standin.LockedRandom(random),
 	})
 	s.nodes[name] = n
 	s.list.Set(instancelist.Entry{Name: name, Zone: zone, Peer: address, State: instancelist.Live})
 	go func() {
 		defer close(n.done)
-		n.Run(n.line.Context())
+		n.Run(n.lifeline.Context())
 	}()
 	return n
 }
 
 // stop kills the instance at once.
 func (n *node) stop() {
-	n.line.Kill()
+	n.lifeline.Kill()
 	n.port.Close()
 	<-n.done
 }
 
-// lose kills an instance, and the list no longer shows it.
-func (s *session) lose(name string) {
+// killAndUnlist kills an instance and removes it from the instance list.
+func (s *session) killAndUnlist(name string) {
 	s.nodes[name].stop()
 	delete(s.nodes, name)
 	s.list.Remove(name)
-	s.say("instance %s is lost", name)
+	s.recordf("instance %s is lost", name)
 }
 
-// hold sends a non-idempotent call with an operation id to the instance that
-// id names, and says how it went.
-func (s *session) hold(home *node, id operation.ID) { s.holdUntil(s.ctx, home, id) }
+// callHold sends a non-idempotent call with an operation id to an instance, and
+// records the outcome.
+func (s *session) callHold(home *node, id operation.ID) { s.callHoldUntil(s.ctx, home, id) }
 
-// holdUntil is hold by a caller that goes away when ctx ends.
-func (s *session) holdUntil(ctx context.Context, home *node, id operation.ID) {
+// callHoldUntil is callHold by a caller that disconnects when ctx ends.
+func (s *session) callHoldUntil(ctx context.Context, home *node, id operation.ID) {
 	answer, result := home.Runner.RunPlain(ctx, request.Plain{
 		ID: home.NewRequestID(), Service: "plate-desk", Operation: &id,
 		Call: service.Call{Method: "POST", Path: "/hold", Headers: []service.Header{
 			{Name: standin.HeaderOperation, Value: id.String()},
 		}},
 	})
-	s.say("hold %s at %s: %s %s, answer of %d bytes", id.Nonce, home.Self().Name, result.Outcome, result.Reason, len(answer.Body))
+	s.recordf("hold %s at %s: %s %s, answer of %d bytes", id.Nonce, home.Self().Name, result.Outcome, result.Reason, len(answer.Body))
 }
 
-// askOutcome asks an instance what became of an operation.
-func (s *session) askOutcome(at *node, id operation.ID) {
+// queryOutcome queries an instance for the outcome of an operation.
+func (s *session) queryOutcome(at *node, id operation.ID) {
 	status := at.AskOperation(s.ctx, id)
-	s.say("outcome of %s asked at %s: %s %s (running %v)", id.Nonce, at.Self().Name, status.Outcome, status.Reason, status.Running)
+	s.recordf("outcome of %s asked at %s: %s %s (running %v)", id.Nonce, at.Self().Name, status.Outcome, status.Reason, status.Running)
 }
 
-// newID makes an operation id as a caller does from an entry answer.
-func (s *session) newID(home, witness *node, nonce string) operation.ID {
+// newOperationID returns an operation id as a caller makes it from an entry
+// answer.
+func (s *session) newOperationID(home, witness *node, nonce string) operation.ID {
 	return operation.ID{
 		Home: home.Self(), Witness: witness.Self(), Nonce: nonce,
 		HomeExpiry: home.Uptime() + 2*time.Minute, WitnessExpiry: witness.Uptime() + 2*time.Minute,
 	}
 }
 
-// say adds a line with the virtual time to the transcript.
-func (s *session) say(format string, args ...any) {
+// recordf adds a line with the virtual time to the transcript.
+func (s *session) recordf(format string, args ...any) {
 	at := time.Since(s.started).Seconds()
 	fmt.Fprintf(&s.text, "%9.3f  %s\n", at, fmt.Sprintf(format, args...))
 }
 
-// gatherer is a caller that gathers an answer.
-type gatherer struct {
+// answerRecorder is a caller that records an answer.
+type answerRecorder struct {
 	text  strings.Builder
 	token func(position int)
 }
 
-func (g *gatherer) Token(token engine.Token) error {
+func (g *answerRecorder) Token(token engine.Token) error {
 	g.text.WriteString(token.Text)
 	if g.token != nil {
 		g.token(token.Position)
@@ -211,39 +212,40 @@
 	return nil
 }
 
-// prompt makes a prompt of about that many tokens.
+// prompt returns a prompt of about the given number of tokens.
 func prompt(tokens int) string { return strings.Repeat("file ", tokens*4/5) }
 
-// ask sends a model request to an instance and says how it went.
-func (s *session) ask(ctx context.Context, home *node, text string, answer int, token func(int)) request.Result {
-	sink := &gatherer{token: token}
-	ctx, cut := context.WithCancel(ctx)
-	defer cut()
-	defer context.AfterFunc(home.line.Context(), cut)()
+// sendModelRequest sends a model request to an instance and records the
+// outcome.
+func (s *session) sendModelRequest(ctx context.Context, home *node, text string, answer int, token func(int)) request.Result {
+	sink := &answerRecorder{token: token}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	defer context.AfterFunc(home.lifeline.Context(), cancel)()
 	result := home.Runner.RunModel(ctx, request.Model{
 		ID: home.NewRequestID(), Model: "dossier", Prompt: text, MaxTokens: answer,
 	}, sink)
-	whole := "the right begin"
+	received := "the right begin"
 	if sink.text.String() == standin.Answer(text, answer) {
-		whole = "the whole right answer"
+		received = "the whole right answer"
 	} else if sink.text.String() != standin.Answer(text, result.Tokens) {
-		whole = "A WRONG ANSWER"
+		received = "A WRONG ANSWER"
 	}
-	if home.line.Context().Err() != nil {
-		// What a dead instance does and says reaches nobody.
-		s.say("model request at %s: connection lost after %d tokens, %s", home.Self().Name, result.Tokens, whole)
+	if home.lifeline.Context().Err() != nil {
+		// The work and the answers of a dead instance reach no caller.
+		s.recordf("model request at %s: connection lost after %d tokens, %s", home.Self().Name, result.Tokens, received)
 		return result
 	}
-	s.say("model request at %s: %s %s, %d tokens, %s", home.Self().Name, result.Outcome, result.Reason, result.Tokens, whole)
-	s.steps(home, result.RequestID)
+	s.recordf("model request at %s: %s %s, %d tokens, %s", home.Self().Name, result.Outcome, result.Reason, result.Tokens, received)
+	s.recordSteps(home, result.RequestID)
 	return result
 }
 
-// steps writes what the instance noted of a request.
-func (s *session) steps(home *node, requestID string) {
+// recordSteps records the steps that the instance traced for a request.
+func (s *session) recordSteps(home *node, requestID string) {
 	record := home.Traces.Find(requestID)
 	if record == nil {
-		s.say("no record")
+		s.recordf("no record")
 		return
 	}
 	for _, step := range record.Steps {
@@ -265,21 +267,21 @@
 	return strings.Join(words, " ")
 }
 
-// ledgers writes what really happened at the stand-ins.
-func (s *session) ledgers() {
+// recordLedgers records what actually happened at the stand-ins.
+func (s *session) recordLedgers() {
 	for _, address := range []string{prefillAddress, decodeOne, decodeTwo} {
 		e, err := s.farm.Load(s.ctx, address)
 		if err != nil {
-			s.say("engine %s: %v", address, err)
+			s.recordf("engine %s: %v", address, err)
 			continue
 		}
 		ledger := s.farm.Engine(address).Ledger()
-		s.say("engine %s: %d prefills, %d imports, %d tokens, %d finished, %d cancelled, %d pieces held, wasted %v",
+		s.recordf("engine %s: %d prefills, %d imports, %d tokens, %d finished, %d cancelled, %d pieces held, wasted %v",
 			address, ledger.Prefills, ledger.Imports, ledger.Tokens, ledger.Finished, ledger.Cancelled, len(e.Held), ledger.WastedTokens)
 	}
 	runs := s.plain.Runs()
 	for _, name := range slices.Sorted(maps.Keys(runs)) {
 		nonce := name[strings.LastIndex(name, "~")+1:]
-		s.say("plain call %s ran %d times", nonce, runs[name])
+		s.recordf("plain call %s ran %d times", nonce, runs[name])
 	}
 }
--- a/instance/siblings.go
+++ b/instance/siblings.go
@@ -16,17 +16,17 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// siblingTimeout bounds one question to a sibling in the background.
+// siblingTimeout bounds one background query to a sibling.
 const siblingTimeout = time.Second
 
-// readList takes in the platform's list: whom to greet, who is leaving, and
-// which cell this instance is in.
+// readList reads the platform's list of instances. It contacts new instances,
+// notes which ones are draining, and determines the cell of this instance.
 func (i *Instance) readList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
 	own, err := i.deps.List.List(ctx, i.config.Zone)
 	if err != nil {
-		i.settleAlone()
+		i.assumeSingleCell()
 		return
 	}
 	zones, err := i.deps.List.Zones(ctx)
@@ -34,103 +34,107 @@
 		return
 	}
 	others := slices.DeleteFunc(zones, func(zone string) bool { return zone == i.config.Zone })
-	maps.DeleteFunc(i.cells.far, func(zone string, _ []instancelist.Entry) bool { return !slices.Contains(others, zone) })
-	for len(i.cells.far) < len(others) && ctx.Err() == nil {
-		before := len(i.cells.far)
-		i.greetFar(ctx, others)
-		if len(i.cells.far) == before {
+	maps.DeleteFunc(i.cells.otherZones, func(zone string, _ []instancelist.Entry) bool { return !slices.Contains(others, zone) })
+	for len(i.cells.otherZones) < len(others) && ctx.Err() == nil {
+		before := len(i.cells.otherZones)
+		i.contactOtherZones(ctx, others)
+		if len(i.cells.otherZones) == before {
 			break
 		}
 	}
-	i.greetFar(ctx, others)
-	i.settlePlace(own, i.regionSize(len(own)))
+	i.contactOtherZones(ctx, others)
+	i.updateLayout(own, i.regionSize(len(own)))
 	listed := make(map[string]bool, len(own))
 	for _, entry := range own {
 		listed[entry.Name] = entry.State == instancelist.Leaving
 		if i.inCell(entry.Name) {
-			i.greet(entry)
+			i.contact(entry)
 		}
 	}
-	for _, entries := range i.cells.far {
+	for _, entries := range i.cells.otherZones {
 		for _, entry := range entries {
 			listed[entry.Name] = entry.State == instancelist.Leaving
 			if i.Cell() == cell.Whole {
-				i.greet(entry)
+				i.contact(entry)
 			}
 		}
 	}
 	i.members.Listed(listed, clock.Now())
 }
 
-// settleAlone takes the region for one cell when the list has not answered
-// for long after the start: those who knew better would have greeted by now.
-func (i *Instance) settleAlone() {
-	if i.Cell() == "" && i.Uptime() > settlePatience {
-		i.settlePlace(nil, 0)
+// assumeSingleCell treats the region as one cell if the list has not answered
+// for a long time after the start. Instances that know of several cells would
+// have sent a heartbeat by then.
+func (i *Instance) assumeSingleCell() {
+	if i.Cell() == "" && i.Uptime() > selfListedTimeout {
+		i.updateLayout(nil, 0)
 	}
 }
 
-// greet makes itself known to an instance that it does not know yet.
-func (i *Instance) greet(entry instancelist.Entry) {
+// contact sends a heartbeat to an instance that is not known yet.
+func (i *Instance) contact(entry instancelist.Entry) {
 	sibling, _ := i.members.View().Find(entry.Name)
 	if sibling.Peer == "" && entry.Name != i.self.Name {
-		i.deps.Peers.Send(entry.Peer, i.greeting())
+		i.deps.Peers.Send(entry.Peer, i.heartbeatMessage())
 	}
 }
 
-func (i *Instance) greeting() *peer.Message {
+func (i *Instance) heartbeatMessage() *peer.Message {
 	return &peer.Message{Heartbeat: &peer.Heartbeat{Info: i.Info()}}
 }
 
-// fullBeatEvery is how many heartbeats there are for each one that carries
-// the addresses too. A sibling that has lost the first learns them then.
-const fullBeatEvery = 8
+// fullHeartbeatEvery is the number of heartbeats for each one that also carries
+// the addresses. A sibling that missed the first heartbeat learns the addresses
+// from it.
+const fullHeartbeatEvery = 8
 
-// heartbeat tells every sibling that this instance lives, and what its
-// workers report.
+// heartbeat reports to every sibling that this instance is alive, and the load
+// of its backend servers.
 func (i *Instance) heartbeat(ctx context.Context) {
 	now := clock.Now()
 	i.members.Tick(now)
-	i.admission.SetInstances(i.sharers())
+	i.admission.SetInstances(i.sharingInstances())
 	i.operations.Expire(i.Uptime())
 	i.witness.Expire(i.Uptime())
-	beat := i.greeting()
-	if i.beats++; i.beats%fullBeatEvery != 0 {
-		beat.Heartbeat.Info = beat.Heartbeat.Info.Brief()
+	message := i.heartbeatMessage()
+	if i.heartbeatsSent++; i.heartbeatsSent%fullHeartbeatEvery != 0 {
+		message.Heartbeat.Info = message.Heartbeat.Info.Brief()
 	}
-	beat.Heartbeat.Loads = i.ownLoads()
+	message.Heartbeat.Loads = i.ownLoads()
 	for _, sibling := range i.members.View().Siblings {
 		if sibling.Peer != "" {
-			i.deps.Peers.Send(sibling.Peer, beat)
+			i.deps.Peers.Send(sibling.Peer, message)
 		}
 	}
 	for _, suspect := range i.members.View().Suspects() {
-		go i.askAbout(ctx, suspect.Member())
+		go i.querySuspect(ctx, suspect.Member())
 	}
 }
 
-// sharers returns over how many instances caps are split: those that serve, or
-// all that are listed where this instance does not know them all.
-func (i *Instance) sharers() int {
-	if at := i.cells.place.Load(); at.zoneCells > 0 {
-		return at.region
+// sharingInstances returns the number of instances among which caps are split.
+// These are the serving instances, or all listed ones if this instance does not
+// know all of them.
+func (i *Instance) sharingInstances() int {
+	if layout := i.cells.layout.Load(); layout.zoneCells > 0 {
+		return layout.regionSize
 	}
 	return len(i.members.View().Serving()) + 1
 }
 
-// mostWitnesses bounds the siblings that are asked about one suspect.
-const mostWitnesses = 3
+// maxSuspectQueries bounds the number of siblings that are queried about one
+// suspect.
+const maxSuspectQueries = 3
 
-// askAbout asks siblings when they last heard a silent member.
-func (i *Instance) askAbout(ctx context.Context, suspect operation.Member) {
+// querySuspect queries siblings for their last contact with a silent member.
+func (i *Instance) querySuspect(ctx context.Context, suspect operation.Member) {
 	ctx, cancel := context.WithTimeout(ctx, i.config.Member.HeartbeatEvery)
 	defer cancel()
-	question := &peer.Message{AskHeard: &peer.AskHeard{Member: suspect}}
+	query := &peer.Message{AskHeard: &peer.AskHeard{Member: suspect}}
 	for n, sibling := range i.members.View().Serving() {
-		if n == mostWitnesses {
+		if n == maxSuspectQueries {
 			return
 		}
-		answer, err := i.deps.Peers.Call(ctx, sibling.Peer, question)
+		answer, err := i.deps.Peers.Call(ctx, sibling.Peer, query)
 		if err == nil && answer.Heard != nil && answer.Heard.Known {
 			now := clock.Now()
 			i.members.Vouch(suspect, now.Add(-answer.Heard.Silence), now)
@@ -138,66 +142,67 @@
 	}
 }
 
-// handle answers one message from a sibling.
+// handle returns the answer to one message from a sibling. It returns nil if
+// the message needs none.
 func (i *Instance) handle(ctx context.Context, message *peer.Message) *peer.Message {
 	switch {
 	case message.Heartbeat != nil:
-		i.heard(ctx, message.Heartbeat)
+		i.handleHeartbeat(ctx, message.Heartbeat)
 		return nil
 	case message.Reserve != nil:
-		return &peer.Message{Reserved: i.reserveHere(message.Reserve)}
+		return &peer.Message{Reserved: i.handleReserve(message.Reserve)}
 	case message.Release != nil:
 		key := route.HoldKey{RequestID: message.Release.RequestID, Attempt: message.Release.Attempt}
 		i.steward.Release(message.Release.Worker, key, clock.Now())
 		return nil
 	case message.Intent != nil:
-		return &peer.Message{IntentAnswer: i.intentHere(message.Intent)}
+		return &peer.Message{IntentAnswer: i.handleIntent(message.Intent)}
 	case message.Settle != nil:
 		if id, err := operation.ParseID(message.Settle.Operation); err == nil {
 			i.witness.Settle(id, message.Settle.Status)
 		}
 		return nil
 	case message.AskOperation != nil:
-		return &peer.Message{OperationAnswer: i.operationHere(message.AskOperation)}
+		return &peer.Message{OperationAnswer: i.handleOperationQuery(message.AskOperation)}
 	case message.AskTrace != nil:
-		return &peer.Message{TraceAnswer: i.traceHere(message.AskTrace.RequestID)}
+		return &peer.Message{TraceAnswer: i.localTrace(message.AskTrace.RequestID)}
 	case message.AskHeard != nil:
 		silence, known := i.members.View().Silence(message.AskHeard.Member, clock.Now())
 		return &peer.Message{Heard: &peer.Heard{Known: known, Silence: silence}}
 	case message.AskClaims != nil:
-		return &peer.Message{Claims: i.claimsHere(message.AskClaims)}
+		return &peer.Message{Claims: i.abandonedClaims(message.AskClaims)}
 	case message.AskRecords != nil:
-		return &peer.Message{Records: i.keeper.answer(message.AskRecords.From)}
+		return &peer.Message{Records: i.tables.recordsFrom(message.AskRecords.From)}
 	default:
 		return nil
 	}
 }
 
-func (i *Instance) heard(ctx context.Context, beat *peer.Heartbeat) {
+func (i *Instance) handleHeartbeat(ctx context.Context, message *peer.Heartbeat) {
 	now := clock.Now()
-	before, _ := i.members.View().Find(beat.Info.Name)
-	if !i.members.Heard(beat.Info, now) {
+	before, _ := i.members.View().Find(message.Info.Name)
+	if !i.members.Heard(message.Info, now) {
 		return
 	}
-	sibling, _ := i.members.View().Find(beat.Info.Name)
+	sibling, _ := i.members.View().Find(message.Info.Name)
 	if before.Incarnation != sibling.Incarnation || before.Peer == "" {
-		i.deps.Peers.Send(sibling.Peer, i.greeting())
+		i.deps.Peers.Send(sibling.Peer, i.heartbeatMessage())
 	}
-	i.observeLoads(beat.Loads, now)
-	if beat.Info.Next <= i.keeper.Next() {
-		i.refresh()
+	i.observeLoads(message.Loads, now)
+	if message.Info.Next <= i.tables.Next() {
+		i.recordContact()
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 		defer cancel()
 		if i.catchUp(ctx, sibling.Peer) == nil {
-			i.refresh()
+			i.recordContact()
 		}
 	}()
 }
 
-func (i *Instance) intentHere(intent *peer.Intent) *peer.IntentAnswer {
+func (i *Instance) handleIntent(intent *peer.Intent) *peer.IntentAnswer {
 	id, err := operation.ParseID(intent.Operation)
 	if err != nil {
 		return &peer.IntentAnswer{Refused: reason.Malformed}
@@ -205,8 +210,8 @@
 	return &peer.IntentAnswer{Refused: i.witness.Intent(id, i.Uptime())}
 }
 
-func (i *Instance) operationHere(ask *peer.AskOperation) *peer.OperationAnswer {
-	id, err := operation.ParseID(ask.Operation)
+func (i *Instance) handleOperationQuery(query *peer.AskOperation) *peer.OperationAnswer {
+	id, err := operation.ParseID(query.Operation)
 	if err != nil {
 		return &peer.OperationAnswer{Status: operation.Status{Outcome: reason.Unknown, Reason: reason.Malformed}}
 	}
@@ -216,7 +221,7 @@
 	return &peer.OperationAnswer{Status: i.witness.Ask(id, i.Uptime())}
 }
 
-func (i *Instance) traceHere(requestID string) *peer.TraceAnswer {
+func (i *Instance) localTrace(requestID string) *peer.TraceAnswer {
 	record := i.Traces.Find(requestID)
 	if record == nil {
 		return &peer.TraceAnswer{}
@@ -228,7 +233,7 @@
 	return &peer.TraceAnswer{JSON: encoded}
 }
 
-// witnesses reaches witnesses for the runner.
+// witnesses implements request.Witnesses with calls to siblings.
 type witnesses struct{ *Instance }
 
 // Intent implements request.Witnesses.
@@ -237,8 +242,8 @@
 	if !known || sibling.Incarnation != id.Witness.Incarnation {
 		return reason.NoWitness
 	}
-	question := &peer.Message{Intent: &peer.Intent{Operation: id.String()}}
-	answer, err := w.deps.Peers.Call(ctx, sibling.Peer, question)
+	query := &peer.Message{Intent: &peer.Intent{Operation: id.String()}}
+	answer, err := w.deps.Peers.Call(ctx, sibling.Peer, query)
 	if err != nil || answer.IntentAnswer == nil {
 		return reason.NoWitness
 	}
--- a/instance/stewards.go
+++ b/instance/stewards.go
@@ -11,22 +11,23 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// stewards reaches the steward of any worker for the runner.
+// stewards implements request.Stewards. It calls the steward of a server, which
+// may be this instance.
 type stewards struct{ *Instance }
 
 // Reserve implements request.Stewards.
-func (s stewards) Reserve(ctx context.Context, worker string, ask route.Ask) route.Grant {
-	owner := s.ownerOf(worker)
+func (s stewards) Reserve(ctx context.Context, server string, request route.Ask) route.Grant {
+	owner := s.ownerOf(server)
 	if owner == s.self.Name {
-		return s.steward.Reserve(worker, ask, clock.Now())
+		return s.steward.Reserve(server, request, clock.Now())
 	}
 	sibling, known := s.members.View().Find(owner)
 	if !known {
 		return route.Grant{Refused: reason.StewardUnreached}
 	}
 	answer, err := s.deps.Peers.Call(ctx, sibling.Peer, &peer.Message{Reserve: &peer.Reserve{
-		Worker: worker, RequestID: ask.RequestID, Attempt: ask.Attempt, Pieces: ask.Pieces, TTL: ask.TTL,
-		LandIn: ask.LandIn, HoldFor: ask.HoldFor, Headroom: ask.Headroom, Tokens: ask.Tokens, MostAhead: ask.MostAhead,
+		Worker: server, RequestID: request.RequestID, Attempt: request.Attempt, Pieces: request.Pieces, TTL: request.TTL,
+		LandIn: request.LandIn, HoldFor: request.HoldFor, Headroom: request.Headroom, Tokens: request.Tokens, MostAhead: request.MostAhead,
 	}})
 	if err != nil || answer.Reserved == nil {
 		return route.Grant{Refused: reason.StewardUnreached}
@@ -35,41 +36,42 @@
 }
 
 // Release implements request.Stewards.
-func (s stewards) Release(worker string, key route.HoldKey) {
-	owner := s.ownerOf(worker)
+func (s stewards) Release(server string, key route.HoldKey) {
+	owner := s.ownerOf(server)
 	if owner == s.self.Name {
-		s.steward.Release(worker, key, clock.Now())
+		s.steward.Release(server, key, clock.Now())
 		return
 	}
 	if sibling, known := s.members.View().Find(owner); known {
 		s.deps.Peers.Send(sibling.Peer, &peer.Message{Release: &peer.Release{
-			Worker: worker, RequestID: key.RequestID, Attempt: key.Attempt,
+			Worker: server, RequestID: key.RequestID, Attempt: key.Attempt,
 		}})
 	}
 }
 
-func (i *Instance) reserveHere(ask *peer.Reserve) *peer.Reserved {
-	grant := i.steward.Reserve(ask.Worker, route.Ask{
-		HoldKey: route.HoldKey{RequestID: ask.RequestID, Attempt: ask.Attempt}, Pieces: ask.Pieces, TTL: ask.TTL,
-		LandIn: ask.LandIn, HoldFor: ask.HoldFor, Headroom: ask.Headroom, Tokens: ask.Tokens, MostAhead: ask.MostAhead,
+func (i *Instance) handleReserve(request *peer.Reserve) *peer.Reserved {
+	grant := i.steward.Reserve(request.Worker, route.Ask{
+		HoldKey: route.HoldKey{RequestID: request.RequestID, Attempt: request.Attempt}, Pieces: request.Pieces, TTL: request.TTL,
+		LandIn: request.LandIn, HoldFor: request.HoldFor, Headroom: request.Headroom, Tokens: request.Tokens, MostAhead: request.MostAhead,
 	}, clock.Now())
 	return &peer.Reserved{Refused: grant.Refused, Free: grant.Free, Ahead: grant.Ahead}
 }
 
-// ownerOf names the instance of this cell that is the steward of a worker.
-func (i *Instance) ownerOf(worker string) string {
-	return route.Owner(worker, i.cellMates())
+// ownerOf returns the name of the instance of this cell that owns a key. The
+// owner of a server's name is the steward of that server.
+func (i *Instance) ownerOf(server string) string {
+	return route.Owner(server, i.cellMemberNames())
 }
 
-// inspectWorkers asks the workers that this instance is the steward of for
-// their load, and cancels what dead homes left there.
-func (i *Instance) inspectWorkers(ctx context.Context) {
+// inspectServers queries the load of the servers whose steward is this
+// instance, and cancels requests that dead homes left there.
+func (i *Instance) inspectServers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
-	view := i.keeper.View()
-	i.steward.Retain(func(worker string) bool {
-		_, exists := view.Backends[worker]
-		return exists && i.ownerOf(worker) == i.self.Name
+	view := i.tables.View()
+	i.steward.Retain(func(server string) bool {
+		_, exists := view.Backends[server]
+		return exists && i.ownerOf(server) == i.self.Name
 	})
 	var group sync.WaitGroup
 	for _, backend := range view.Backends {
@@ -82,14 +84,14 @@
 }
 
 func (i *Instance) inspect(ctx context.Context, backend *table.BackendView) {
-	asked := clock.Now()
+	sentAt := clock.Now()
 	load, err := i.deps.Engines.Load(ctx, backend.Address)
 	if err != nil {
 		return
 	}
 	if server := i.fleet.Server(backend.Name); server != nil {
 		server.Observe(&route.Report{
-			At: asked, WaitingTokens: load.WaitingTokens, Running: load.Running,
+			At: sentAt, WaitingTokens: load.WaitingTokens, Running: load.Running,
 			FreePieces: load.FreePieces, Leaving: load.Leaving,
 		})
 	}
@@ -101,10 +103,10 @@
 		held[route.HoldKey{RequestID: h.RequestID, Attempt: h.Number}] = h.Pieces
 	}
 	i.steward.Observe(backend.Name, route.EngineReport{
-		TakenAt: asked, Pieces: load.Pieces, WaitingTokens: load.WaitingTokens, Held: held,
+		TakenAt: sentAt, Pieces: load.Pieces, WaitingTokens: load.WaitingTokens, Held: held,
 	})
 	i.cancelOrphans(ctx, backend, load.Held)
 }
 
-// Steward names the instance that grants a worker's memory.
-func (i *Instance) Steward(worker string) string { return i.ownerOf(worker) }
+// Steward returns the name of the instance that grants a server's memory.
+func (i *Instance) Steward(server string) string { return i.ownerOf(server) }
