--- a/roles/roles.go
+++ b/roles/roles.go
@@ -1,5 +1,5 @@
-// Package roles plans which engines of a service read prompts and which
-// generate. It does no I/O and reads no clock.
+// Package roles plans which engines of a service prefill and which decode. It
+// does no I/O and reads no clock.
 package roles
 
 import (
@@ -8,38 +8,39 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Engine is one engine as the plan sees it.
+// Engine describes one engine for planning.
 type Engine struct {
 	Name string
 	Zone string
 	Role string
-	// Ordered is the role that an order still under way gives it; empty without
-	// one.
+	// Ordered is the role of an order that is still in progress. It is empty if
+	// there is none.
 	Ordered string
-	// Unreached is set if it could not be asked of late: it keeps its role for now.
+	// Unreached is set if recent queries to the engine failed. Such an engine
+	// keeps its role for now.
 	Unreached bool
 }
 
-// free says whether it could be ordered now.
-func (e Engine) free() bool { return !e.changing() && !e.Unreached }
+// available reports whether the engine could be ordered to change its role now.
+func (e Engine) available() bool { return !e.changing() && !e.Unreached }
 
-// changing says whether an order is under way.
+// changing reports whether an order is in progress.
 func (e Engine) changing() bool { return e.Ordered != "" && e.Ordered != e.Role }
 
-// Change is one engine's new role, with what led to it.
+// Change is the new role of one engine and the counts that led to it.
 type Change struct {
 	Engine string
 	Role   string
-	// Prefill and Decode count the engines of each role, and Want the prefill
-	// engines that there should be.
+	// Prefill and Decode are the numbers of engines of each role. Want is the
+	// number of prefill engines that there should be.
 	Prefill int
 	Decode  int
 	Want    int
 }
 
 // Next returns the next change that brings the roles closer to the share of
-// engines that should read prompts. An engine that is changing counts as
-// changed. Each role keeps one engine at least.
+// engines that should prefill. An engine that is changing counts as changed.
+// Each role keeps at least one engine.
 func Next(engines []Engine, share float64) (Change, bool) {
 	change := Change{Want: Wanted(len(engines), share)}
 	for _, engine := range engines {
@@ -57,11 +58,11 @@
 	if change.Prefill < change.Want {
 		from, change.Role = table.RoleDecode, table.RolePrefill
 	}
-	change.Engine = pick(engines, from)
+	change.Engine = selectEngine(engines, from)
 	return change, change.Engine != ""
 }
 
-// Wanted returns how many of so many engines should read prompts.
+// Wanted returns how many of a number of engines should prefill.
 func Wanted(engines int, share float64) int {
 	want := int(math.Round(float64(engines) * share))
 	return max(min(want, engines-1), 1)
@@ -74,18 +75,18 @@
 	return engine.Role
 }
 
-// pick takes an engine from the zone that has most of the role, so that the
-// zones stay alike.
-func pick(engines []Engine, role string) string {
+// selectEngine selects an engine of a role from the zone that has the most
+// engines of this role, so that the distribution over the zones stays even.
+func selectEngine(engines []Engine, role string) string {
 	perZone := make(map[string]int)
 	for _, engine := range engines {
-		if engine.Role == role && engine.free() {
+		if engine.Role == role && engine.available() {
 			perZone[engine.Zone]++
 		}
 	}
 	best, most := "", 0
 	for _, engine := range engines {
-		if engine.Role == role && engine.free() && perZone[engine.Zone] > most {
+		if engine.Role == role && engine.available() && perZone[engine.Zone] > most {
 			best, most = engine.Name, perZone[engine.Zone]
 		}
 	}
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -9,9 +9,10 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// TestChangesLeadToThePlan: orders carried out late or at once, the roles reach
-// the plan, with no more orders than are needed, and never lose a role.
-func TestChangesLeadToThePlan(t *testing.T) {
+// TestChangesReachPlan checks that the roles reach the plan whether orders are
+// carried out late or at once. It allows no more orders than needed, and no
+// role may be left without an engine.
+func TestChangesReachPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 40).Draw(t, "engines")
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
@@ -34,20 +35,21 @@
 			}
 			orders++
 			if orders > needed {
-				t.Fatalf("%d orders, %d are needed", orders, needed)
+				t.Fatalf("%d orders, need %d", orders, needed)
 			}
 			carryOut(t, engines, change)
 		}
 		if orders != needed {
-			t.Fatalf("%d orders, %d are needed", orders, needed)
+			t.Fatalf("%d orders, need %d", orders, needed)
 		}
 		if want < 1 || want > count-1 {
-			t.Fatalf("%d of %d engines are to read prompts", want, count)
+			t.Fatalf("%d of %d engines should prefill", want, count)
 		}
 	})
 }
 
-// carryOut gives the order, and carries out any of those under way.
+// carryOut records the order for a change, and carries out a random selection
+// of the orders in progress.
 func carryOut(t *rapid.T, engines []Engine, change Change) {
 	for i := range engines {
 		if engines[i].Name == change.Engine {
@@ -62,7 +64,7 @@
 	}
 }
 
-func TestTheZoneWithMostGivesAnEngine(t *testing.T) {
+func TestEngineSelectedFromZoneWithMostOfRole(t *testing.T) {
 	engines := []Engine{
 		{Name: "a", Zone: "1", Role: table.RolePrefill},
 		{Name: "b", Zone: "2", Role: table.RolePrefill},
