--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/mastwheel/mastwheel/trace"
 )
 
-func benchRunner(tb testing.TB) *request.Runner {
+func newBenchRunner(tb testing.TB) *request.Runner {
 	tb.Helper()
 	view := standin.SampleTable().Compile()
 	view.Revision = 1
@@ -29,10 +29,10 @@
 	}, request.DefaultConfig())
 }
 
-// BenchmarkModelRequest is the router's own cost of one model request, and of
-// one token, with engines that answer at once.
+// BenchmarkModelRequest measures the cost of the router for one model request
+// with 1 token and with 245 tokens. The engines answer at once.
 func BenchmarkModelRequest(b *testing.B) {
-	r := benchRunner(b)
+	r := newBenchRunner(b)
 	prompt := string(make([]byte, 12_000))
 	for _, bench := range []struct {
 		name   string
@@ -47,9 +47,9 @@
 	}
 }
 
-// BenchmarkPlainCall is the router's own cost of one plain call.
+// BenchmarkPlainCall measures the cost of the router for one plain call.
 func BenchmarkPlainCall(b *testing.B) {
-	r := benchRunner(b)
+	r := newBenchRunner(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.RunPlain(context.Background(), request.Plain{ID: "r", Service: "plate-desk", Call: service.Call{Method: "GET"}})
--- a/request/cancel.go
+++ b/request/cancel.go
@@ -7,9 +7,10 @@
 	"github.com/mastwheel/mastwheel/engine"
 )
 
-// cancelLater cancels an attempt at an engine, again and again until the
-// engine confirms it. The request does not wait for that.
-func (r *Runner) cancelLater(address string, attempt engine.Attempt) {
+// cancelInBackground cancels an attempt at an engine without delaying the
+// request. The cancel is repeated until the engine confirms it or
+// Config.CancelFor has passed.
+func (r *Runner) cancelInBackground(address string, attempt engine.Attempt) {
 	if !r.config.Protect.Cancel {
 		return
 	}
@@ -37,6 +38,6 @@
 	return r.Engines.Cancel(ctx, address, attempt)
 }
 
-// retryAfterBusy is when a caller may come back after a refusal for want of
-// room: about the time in which a decode engine frees a place.
+// retryAfterBusy is the Retry-After of a refusal for lack of capacity. It is
+// about the time in which a decode engine frees the memory of one request.
 const retryAfterBusy = time.Second
--- a/request/claims.go
+++ b/request/claims.go
@@ -6,17 +6,18 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// claims holds the attempts that requests of this instance work on. A steward
-// that finds anything else at an engine may cancel it: an attempt is claimed
-// before its first order is sent, and once dropped it never comes back.
+// claims holds the attempt that each request of this instance currently works
+// on. A steward may cancel any other attempt that it finds at an engine. An
+// attempt is therefore claimed before its first order is sent, and it is never
+// claimed again once its claim was removed.
 type claims struct {
 	mu sync.Mutex
-	// current is the attempt in hand, by request id.
+	// current is the number of the current attempt, by request ID.
 	current map[string]int
 }
 
-// hold claims an attempt and gives up the one before it.
-func (c *claims) hold(key route.HoldKey) {
+// set claims an attempt in place of the previous attempt of its request.
+func (c *claims) set(key route.HoldKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current == nil {
@@ -25,17 +26,17 @@
 	c.current[key.RequestID] = key.Attempt
 }
 
-// drop gives up whatever attempt of the request is in hand.
-func (c *claims) drop(requestID string) {
+// remove removes the claim of the current attempt of a request.
+func (c *claims) remove(requestID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.current, requestID)
 }
 
-// Claims says whether a request of this instance works on an attempt.
+// Claims reports whether a request of this instance works on an attempt.
 func (r *Runner) Claims(key route.HoldKey) bool {
 	r.claims.mu.Lock()
 	defer r.claims.mu.Unlock()
-	attempt, alive := r.claims.current[key.RequestID]
-	return alive && attempt == key.Attempt
+	attempt, claimed := r.claims.current[key.RequestID]
+	return claimed && attempt == key.Attempt
 }
--- a/request/delivery.go
+++ b/request/delivery.go
@@ -7,25 +7,26 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// Sink takes the tokens of one answer, in order and each once.
+// Sink receives the tokens of one answer in order, each exactly once.
 type Sink interface {
-	// Token hands over one token. An error means that the caller has gone.
+	// Token delivers one token. An error means that the caller has
+	// disconnected.
 	Token(token engine.Token) error
 }
 
-// errGap means that a stream skipped a position.
+// errGap means that a token stream skipped a position.
 var errGap = errors.New("token stream skipped a position")
 
-// cursor is the one place where tokens pass to the caller. It lets a token
-// through only if it belongs to the request and attempt in hand and has the
-// next position.
+// cursor is the only path by which tokens reach the caller. It delivers a token
+// only if the token belongs to the current request and attempt and has the next
+// position.
 type cursor struct {
 	requestID string
 	sink      Sink
 	next      int
 }
 
-// offer passes a token on, or says why it was dropped.
+// offer delivers a token, or returns the reason why the token was dropped.
 func (c *cursor) offer(attempt int, token engine.Token) (dropped reason.Reason, err error) {
 	if token.RequestID != c.requestID || token.Number != attempt {
 		return reason.WrongAnswer, nil
--- a/request/life.go
+++ b/request/life.go
@@ -1,4 +1,4 @@
-// Package request holds the life of one request: its states and outcome, its
+// Package request runs one request from arrival to outcome: its states, its
 // attempts at backend servers, and the delivery of its answer to the caller.
 package request
 
@@ -8,29 +8,34 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// State is where a request is in its life.
+// State is a state in the life cycle of a request.
 type State uint8
 
 const (
-	// Received: read from the caller, nothing decided.
+	// Received means that the request was read from the caller and nothing has
+	// been decided yet.
 	Received State = iota
-	// Waiting: admitted, and waits for a promise of memory or for a server.
+	// Waiting means that the request is admitted and waits for a memory
+	// reservation or for a server.
 	Waiting
-	// Reserved: decode memory is promised.
+	// Reserved means that decode memory is reserved.
 	Reserved
-	// Prefilling: a prefill engine has, or may have, the order.
+	// Prefilling means that a prefill engine has, or may have, the order.
 	Prefilling
-	// Transferring: the KV cache is on its way to the decode engine.
+	// Transferring means that the KV cache is being transferred to the decode
+	// engine.
 	Transferring
-	// Decoding: the decode engine generates.
+	// Decoding means that the decode engine generates tokens.
 	Decoding
-	// Sent: a plain backend server has, or may have, the call.
+	// Sent means that a plain backend server has, or may have, the call.
 	Sent
-	// Delivered: the whole answer was handed to the caller's connection.
+	// Delivered means that the whole answer was written to the caller's
+	// connection.
 	Delivered
-	// Ended: given up; the outcome says whether anything may have run.
+	// Ended means that the request failed. Its outcome says whether any part
+	// may have run.
 	Ended
-	// Departed: the caller has gone.
+	// Departed means that the caller has disconnected.
 	Departed
 )
 
@@ -39,33 +44,33 @@
 	"decoding", "sent", "delivered", "ended", "departed",
 }
 
-// String returns the state's name in lower case.
+// String returns the name of the state in lower case.
 func (s State) String() string { return stateNames[s] }
 
-// Event moves a request from one state to the next.
+// Event is a transition from one state of a request to the next.
 type Event uint8
 
 const (
-	// Admit: it has its place within the caps.
+	// Admit: the request was admitted within the caps.
 	Admit Event = iota
-	// Promise: a steward has promised decode memory.
+	// Promise: a steward has reserved decode memory.
 	Promise
 	// Send: from now on a byte may have reached a backend server.
 	Send
-	// Disclaim: the server said, or the transport knows, that the order of
-	// the last Send was not run.
+	// Disclaim: the order of the last Send was not run. The server reported so,
+	// or the transport shows it.
 	Disclaim
-	// Prefilled: the prompt is read.
+	// Prefilled: the prefill is complete.
 	Prefilled
 	// Imported: the decode engine has the KV cache.
 	Imported
 	// Retry: the attempt failed and the next one begins.
 	Retry
-	// Deliver: the whole answer was handed over.
+	// Deliver: the whole answer was written to the caller.
 	Deliver
 	// GiveUp: no further attempt will be made.
 	GiveUp
-	// Depart: the caller has gone.
+	// Depart: the caller has disconnected.
 	Depart
 )
 
@@ -74,10 +79,10 @@
 	"imported", "retry", "deliver", "give_up", "depart",
 }
 
-// String returns the event's name in lower case.
+// String returns the name of the event in lower case.
 func (e Event) String() string { return eventNames[e] }
 
-// transitions is the whole life of a request. What is not in it is a broken
+// transitions lists every allowed transition. Any other one is a violated
 // invariant.
 var transitions = map[State]map[Event]State{
 	Received: {Admit: Waiting, GiveUp: Ended, Depart: Departed},
@@ -86,7 +91,8 @@
 	Prefilling: {
 		Prefilled: Transferring, Disclaim: Reserved, Retry: Waiting, GiveUp: Ended, Depart: Departed,
 	},
-	// Another decode engine may be tried for the same prefill result.
+	// Promise reserves memory at another decode engine for the same prefill
+	// result.
 	Transferring: {
 		Promise: Transferring, Imported: Decoding, Retry: Waiting, GiveUp: Ended, Depart: Departed,
 	},
@@ -96,41 +102,43 @@
 	},
 }
 
-// Life is the state of one request. The zero value is Received.
+// Life is the state of one request. The zero value is in state Received.
 type Life struct {
 	state State
-	// open counts orders sent that nobody has disclaimed.
-	open int
+	// unresolved counts the orders that were sent and not disclaimed.
+	unresolved int
 }
 
 // State returns the current state.
 func (l *Life) State() State { return l.state }
 
-// Step moves the life on. An event that the table does not allow is a broken
-// invariant, and panics.
+// Step applies an event. It panics when the event is not allowed in the current
+// state, since that is a violated invariant.
 func (l *Life) Step(event Event) {
 	next, ok := transitions[l.state][event]
 	if !ok {
-		panic(fmt.Sprintf("request: event %s in state %s", event, l.state))
+		panic(fmt.Sprintf("request: event %s is not allowed in state %s", event, l.state))
 	}
 	switch event {
 	case Send:
-		l.open++
+		l.unresolved++
 	case Disclaim:
-		l.open--
+		l.unresolved--
 	}
 	l.state = next
 }
 
-// MayHaveRun says whether a backend server may have run any part.
-func (l *Life) MayHaveRun() bool { return l.open > 0 }
+// MayHaveRun reports whether a backend server may have run any part of the
+// request.
+func (l *Life) MayHaveRun() bool { return l.unresolved > 0 }
 
-// Outcome returns what a caller may be told, now or at the end.
+// Outcome returns the outcome that may be reported to the caller, now or at the
+// end.
 func (l *Life) Outcome() reason.Outcome {
 	switch {
 	case l.state == Delivered:
 		return reason.Done
-	case l.open > 0:
+	case l.unresolved > 0:
 		return reason.Unknown
 	default:
 		return reason.NotRun
--- a/request/life_test.go
+++ b/request/life_test.go
@@ -10,12 +10,14 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// However a life goes, "not run" is told only when every order sent was
-// disclaimed, and an outcome that has become final never changes.
+// Checks over random event sequences that "not run" is reported only when every
+// order that was sent was disclaimed, and "done" only after the answer was
+// delivered. Final states have no transitions (TestLifeTransitions), so a final
+// outcome never changes.
 func TestLifeOutcomes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		life := Life{}
-		open := 0
+		unresolved := 0
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			events := transitions[life.State()]
 			if len(events) == 0 {
@@ -31,22 +33,22 @@
 			life.Step(event)
 			switch event {
 			case Send:
-				open++
+				unresolved++
 			case Disclaim:
-				open--
+				unresolved--
 			}
-			if life.Outcome() == reason.NotRun && open > 0 {
-				t.Fatal("told not run while an order may have run")
+			if life.Outcome() == reason.NotRun && unresolved > 0 {
+				t.Fatal("outcome is not run although an order may have run")
 			}
 			if life.Outcome() == reason.Done && life.State() != Delivered {
-				t.Fatal("told done before the answer was delivered")
+				t.Fatal("outcome is done before the answer was delivered")
 			}
 		}
 	})
 }
 
-func TestLifeTable(t *testing.T) {
-	Convey("Final states have no way out, and every other can be departed from", t, func() {
+func TestLifeTransitions(t *testing.T) {
+	Convey("Final states have no transitions, and every other state allows Depart and GiveUp", t, func() {
 		for state := Received; state <= Departed; state++ {
 			final := state == Delivered || state == Ended || state == Departed
 			So(len(transitions[state]) == 0, ShouldEqual, final)
@@ -56,23 +58,23 @@
 			}
 		}
 	})
-	Convey("An event out of place is a broken invariant", t, func() {
+	Convey("An event that the state does not allow panics", t, func() {
 		So(func() { (&Life{}).Step(Deliver) }, ShouldPanic)
 	})
 }
 
-type listSink struct{ positions []int }
+type recordingSink struct{ positions []int }
 
-func (l *listSink) Token(token engine.Token) error {
+func (l *recordingSink) Token(token engine.Token) error {
 	l.positions = append(l.positions, token.Position)
 	return nil
 }
 
-// Whatever a stream carries, the caller gets positions 0, 1, 2 … of its own
-// request and attempt, each once.
-func TestCursor(t *testing.T) {
+// Whatever tokens a stream contains, the caller receives positions 0, 1, 2 and
+// so on of its own request and attempt, each exactly once.
+func TestCursorDeliversEachPositionOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sink := &listSink{}
+		sink := &recordingSink{}
 		c := cursor{requestID: "mine", sink: sink}
 		for range rapid.IntRange(0, 60).Draw(t, "tokens") {
 			token := engine.Token{
@@ -82,15 +84,15 @@
 			}
 			before := len(sink.positions)
 			_, err := c.offer(1, token)
-			passed := len(sink.positions) > before
-			right := token.RequestID == "mine" && token.Number == 1 && token.Position == before
-			if passed != right {
-				t.Fatalf("token %+v passed %v at %d (%v)", token, passed, before, err)
+			delivered := len(sink.positions) > before
+			expected := token.RequestID == "mine" && token.Number == 1 && token.Position == before
+			if delivered != expected {
+				t.Fatalf("token %+v: delivered %v at position %d (error %v)", token, delivered, before, err)
 			}
 		}
 		for i, position := range sink.positions {
 			if i != position {
-				t.Fatalf("position %d came in place %d", position, i)
+				t.Fatalf("position %d was delivered at index %d", position, i)
 			}
 		}
 	})
--- a/request/model.go
+++ b/request/model.go
@@ -17,54 +17,57 @@
 	Team      string
 	Prompt    string
 	MaxTokens int
-	// Operation is the caller's operation id, or nil.
+	// Operation is the caller's operation ID, or nil.
 	Operation *operation.ID
 }
 
-// modelRun is a model request while it lives.
+// modelRun is a model request in progress.
 type modelRun struct {
 	*run
-	ask    Model
+	req    Model
 	query  route.Query
 	cursor cursor
 	place  *route.Place
-	// below is how many steps the priority is below the highest.
-	below    int
-	deadline time.Time
-	first    time.Time
-	last     time.Time
-	// prefill is the engine that promised a turn, and decode the one whose
-	// memory is promised to the attempt.
+	// stepsBelowTop is how far the priority is below the highest priority.
+	stepsBelowTop int
+	deadline      time.Time
+	firstTokenAt  time.Time
+	lastTokenAt   time.Time
+	// prefill is the engine that reserved a turn. decode is the engine that
+	// reserved memory for the attempt.
 	prefill *route.Rated
 	decode  *route.Rated
-	// landIn is when, from the promise of a turn on, the KV cache is expected
-	// at the decode engine.
-	landIn time.Duration
-	// refused is the last choice whose steward did not promise a place.
-	refused *route.Decision
-	// triedPrefill and triedDecode failed this request before.
+	// untilArrival is the expected time from the reservation of a turn until
+	// the KV cache is at the decode engine.
+	untilArrival time.Duration
+	// refusedDecision is the last decision whose steward refused the
+	// reservation, or in which every candidate was filtered out.
+	refusedDecision *route.Decision
+	// triedPrefill and triedDecode name the engines that have failed this
+	// request.
 	triedPrefill []string
 	triedDecode  []string
 }
 
-// attemptEnd says how an attempt ended: delivered, or why not.
-type attemptEnd struct {
+// attemptResult is how an attempt ended: delivered, or the reason why not.
+type attemptResult struct {
 	delivered bool
-	// final means that no further attempt would help or is allowed.
+	// final means that a further attempt would not help or is not allowed.
 	final bool
 	why   reason.Reason
 }
 
-// RunModel runs a model request to its end. ctx ends when the caller departs.
-func (r *Runner) RunModel(ctx context.Context, ask Model, sink Sink) Result {
+// RunModel runs a model request to its end. ctx is cancelled when the caller
+// disconnects.
+func (r *Runner) RunModel(ctx context.Context, req Model, sink Sink) Result {
 	view := r.View()
-	service := view.Models[ask.Model]
+	service := view.Models[req.Model]
 	m := &modelRun{
-		run:    r.begin(ask.ID, service, ask.Team, view),
-		ask:    ask,
-		cursor: cursor{requestID: ask.ID, sink: sink},
+		run:    r.newRun(req.ID, service, req.Team, view),
+		req:    req,
+		cursor: cursor{requestID: req.ID, sink: sink},
 	}
-	if result, ok := m.open(ask.Operation); !ok {
+	if result, ok := m.beginOperation(req.Operation); !ok {
 		return result
 	}
 	if why := r.refusal(service != nil); why != reason.None {
@@ -73,43 +76,44 @@
 	m.query = m.newQuery()
 	m.record.Prompt = m.query.PromptTokens
 	m.deadline = m.record.Arrived.Add(service.TTFT)
-	team := view.Teams[ask.Team]
+	team := view.Teams[req.Team]
 	place, why := r.Admission.Admit(service, team)
 	if why != reason.None {
 		return m.giveUp(why, retryAfterBusy)
 	}
 	defer place.Leave()
 	m.place = place
-	m.below = view.TopPriority - service.Priority
+	m.stepsBelowTop = view.TopPriority - service.Priority
 	if team != nil {
-		m.below -= team.Priority
+		m.stepsBelowTop -= team.Priority
 	}
 	m.step(Admit, reason.None, "")
 	r.budget(service.Name).Earn(service.RetryPercent)
-	return m.attempts(ctx)
+	return m.runAttempts(ctx)
 }
 
 func (m *modelRun) newQuery() route.Query {
-	tokens := engine.EstimateTokens(len(m.ask.Prompt))
+	tokens := engine.EstimateTokens(len(m.req.Prompt))
 	return route.Query{
-		RequestID:    m.ask.ID,
+		RequestID:    m.req.ID,
 		Zone:         m.Zone,
 		PromptTokens: tokens,
-		Pieces:       engine.PiecesFor(tokens, m.ask.MaxTokens),
-		Prefixes:     route.PrefixHashes(m.ask.Prompt),
+		Pieces:       engine.PiecesFor(tokens, m.req.MaxTokens),
+		Prefixes:     route.PrefixHashes(m.req.Prompt),
 	}
 }
 
-// attempts tries until the answer is delivered or nothing more may be done.
-func (m *modelRun) attempts(ctx context.Context) Result {
+// runAttempts makes attempts until the answer is delivered or no further
+// attempt is allowed.
+func (m *modelRun) runAttempts(ctx context.Context) Result {
 	for {
-		end := m.once(ctx)
+		end := m.runAttempt(ctx)
 		if ctx.Err() != nil && !end.delivered {
 			return m.depart()
 		}
 		if end.delivered {
 			m.step(Deliver, reason.None, "")
-			m.measure()
+			m.observeLatency()
 			return m.finish(reason.None, 0)
 		}
 		if end.final || m.attempt+1 >= m.config.MaxAttempts {
@@ -124,16 +128,16 @@
 	}
 }
 
-// once makes one attempt: reserve, prefill, transfer, decode.
-func (m *modelRun) once(ctx context.Context) attemptEnd {
-	m.claims.hold(m.holdKey())
+// runAttempt makes one attempt: reserve, prefill, transfer, decode.
+func (m *modelRun) runAttempt(ctx context.Context) attemptResult {
+	m.claims.set(m.holdKey())
 	if end, ok := m.reserve(ctx); !ok {
 		return end
 	}
 	defer func() { m.release(m.decode) }()
-	if why := m.witness(ctx); why != reason.None {
+	if why := m.recordIntent(ctx); why != reason.None {
 		m.release(m.prefill)
-		return attemptEnd{final: true, why: why}
+		return attemptResult{final: true, why: why}
 	}
 	result, end, ok := m.runPrefill(ctx)
 	m.release(m.prefill)
@@ -141,12 +145,12 @@
 		return end
 	}
 	if end, ok := m.transfer(ctx, result); !ok {
-		m.cancelLater(m.prefill.Backend.Address, m.engineAttempt())
+		m.cancelInBackground(m.prefill.Backend.Address, m.engineAttempt())
 		return end
 	}
 	return m.stream(ctx)
 }
 
 func (m *modelRun) engineAttempt() engine.Attempt {
-	return engine.Attempt{RequestID: m.ask.ID, Number: m.attempt, Home: m.Home}
+	return engine.Attempt{RequestID: m.req.ID, Number: m.attempt, Home: m.Home}
 }
--- a/request/plain.go
+++ b/request/plain.go
@@ -19,53 +19,53 @@
 	Service string
 	Team    string
 	Call    service.Call
-	// Idempotent says that the call may be repeated after a loss (RFC 9110,
-	// section 9.2.2).
+	// Idempotent means that the call may be repeated after its answer was lost
+	// (RFC 9110, section 9.2.2).
 	Idempotent bool
 	Operation  *operation.ID
 }
 
-// plainRun is a plain call while it lives.
+// plainRun is a plain call in progress.
 type plainRun struct {
 	*run
-	ask   Plain
+	req   Plain
 	tried []string
 }
 
 // RunPlain runs a plain call to its end. The answer is valid when the outcome
-// is done.
-func (r *Runner) RunPlain(ctx context.Context, ask Plain) (service.Answer, Result) {
+// is reason.Done.
+func (r *Runner) RunPlain(ctx context.Context, req Plain) (service.Answer, Result) {
 	view := r.View()
-	row := view.Services[ask.Service]
-	p := &plainRun{run: r.begin(ask.ID, row, ask.Team, view), ask: ask}
-	if result, ok := p.open(ask.Operation); !ok {
-		return p.kept(result)
+	row := view.Services[req.Service]
+	p := &plainRun{run: r.newRun(req.ID, row, req.Team, view), req: req}
+	if result, ok := p.beginOperation(req.Operation); !ok {
+		return p.takeKeptAnswer(result)
 	}
 	if why := r.refusal(row != nil && row.Type == table.TypePlain); why != reason.None {
 		return service.Answer{}, p.giveUp(why, 0)
 	}
-	place, why := r.Admission.Admit(row, view.Teams[ask.Team])
+	place, why := r.Admission.Admit(row, view.Teams[req.Team])
 	if why != reason.None {
 		return service.Answer{}, p.giveUp(why, retryAfterBusy)
 	}
 	defer place.Leave()
 	p.step(Admit, reason.None, "")
-	if why := p.witness(ctx); why != reason.None {
+	if why := p.recordIntent(ctx); why != reason.None {
 		return service.Answer{}, p.giveUp(why, retryAfterBusy)
 	}
 	r.budget(row.Name).Earn(row.RetryPercent)
-	return p.attempts(ctx)
+	return p.runAttempts(ctx)
 }
 
-func (p *plainRun) attempts(ctx context.Context) (service.Answer, Result) {
+func (p *plainRun) runAttempts(ctx context.Context) (service.Answer, Result) {
 	for {
-		answer, end := p.once(ctx)
+		answer, end := p.runAttempt(ctx)
 		if ctx.Err() != nil && !end.delivered {
 			return service.Answer{}, p.depart()
 		}
 		if end.delivered {
 			p.step(Deliver, reason.None, "")
-			p.keep(ctx, answer)
+			p.keepAnswer(ctx, answer)
 			return answer, p.finish(reason.None, 0)
 		}
 		if end.final || p.attempt+1 >= p.config.MaxAttempts {
@@ -80,24 +80,26 @@
 	}
 }
 
-// mostKept bounds an answer that is kept for a caller who comes back, in
-// bytes; of a longer one it learns the outcome alone.
-const mostKept = 64 << 10
+// maxKeptAnswerBytes bounds the body of an answer that is kept for a caller
+// that reconnects. For a longer answer that caller learns only the outcome.
+const maxKeptAnswerBytes = 64 << 10
 
-// keep holds the answer for a caller that has gone while the call ran.
-func (p *plainRun) keep(ctx context.Context, answer service.Answer) {
-	if p.op != nil && ctx.Err() != nil && len(answer.Body) <= mostKept {
+// keepAnswer stores the answer for a caller that disconnected while the call
+// ran.
+func (p *plainRun) keepAnswer(ctx context.Context, answer service.Answer) {
+	if p.op != nil && ctx.Err() != nil && len(answer.Body) <= maxKeptAnswerBytes {
 		p.Operations.Keep(*p.op, answer)
 	}
 }
 
-// kept answers a caller that has come back with the id of a call that ended
-// while it was gone. Each answer is handed over once.
-func (p *plainRun) kept(result Result) (service.Answer, Result) {
+// takeKeptAnswer returns the stored answer to a caller that repeats the
+// operation ID of a call which ended while that caller was disconnected. Each
+// answer is returned once.
+func (p *plainRun) takeKeptAnswer(result Result) (service.Answer, Result) {
 	if result.Reason != reason.AlreadyAnswered {
 		return service.Answer{}, result
 	}
-	answer, ok := p.Operations.Take(*p.ask.Operation)
+	answer, ok := p.Operations.Take(*p.req.Operation)
 	if !ok {
 		return service.Answer{}, result
 	}
@@ -105,51 +107,51 @@
 	return answer.(service.Answer), result
 }
 
-// once sends the call to one backend server.
-func (p *plainRun) once(ctx context.Context) (service.Answer, attemptEnd) {
-	query := route.Query{RequestID: p.ask.ID, Zone: p.Zone, Exclude: p.tried, Now: clock.Now()}
-	decision := p.Runner.plain.Decide(&query, p.Fleet, p.service.Plain)
-	p.note(&decision)
-	chosen := decision.Chosen
-	if chosen == nil {
-		return service.Answer{}, attemptEnd{final: true, why: reason.NoBackend}
+// runAttempt sends the call to one backend server.
+func (p *plainRun) runAttempt(ctx context.Context) (service.Answer, attemptResult) {
+	query := route.Query{RequestID: p.req.ID, Zone: p.Zone, Exclude: p.tried, Now: clock.Now()}
+	decision := p.Runner.plainProfile.Decide(&query, p.Fleet, p.service.Plain)
+	p.recordDecision(&decision)
+	selected := decision.Chosen
+	if selected == nil {
+		return service.Answer{}, attemptResult{final: true, why: reason.NoBackend}
 	}
-	if !chosen.Server.Breaker.Allow(query.Now) {
-		return service.Answer{}, attemptEnd{why: reason.BackendRefused}
+	if !selected.Server.Breaker.Allow(query.Now) {
+		return service.Answer{}, attemptResult{why: reason.BackendRefused}
 	}
-	done := chosen.Server.Begin(0)
+	done := selected.Server.Begin(0)
 	defer done()
-	// What was sent runs its course though the caller goes: its answer may be
-	// asked for.
+	// A call that was sent continues after the caller disconnects, since the
+	// caller may query its answer later.
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.config.PlainTimeout)
 	defer cancel()
-	p.step(Send, reason.None, chosen.Name)
-	answer, err := p.Services.Do(callCtx, chosen.Backend.Address, p.ask.Call)
+	p.step(Send, reason.None, selected.Name)
+	answer, err := p.Services.Do(callCtx, selected.Backend.Address, p.req.Call)
 	if err == nil {
-		chosen.Server.Breaker.Success()
-		return answer, attemptEnd{delivered: true}
+		selected.Server.Breaker.Success()
+		return answer, attemptResult{delivered: true}
 	}
-	p.tried = append(p.tried, chosen.Name)
-	return service.Answer{}, p.failed(chosen, err)
+	p.tried = append(p.tried, selected.Name)
+	return service.Answer{}, p.classifyFailure(selected, err)
 }
 
-// failed decides what a failed call means. Only a call that did not run, or
-// one that may be repeated, is tried again.
-func (p *plainRun) failed(chosen *route.Rated, err error) attemptEnd {
+// classifyFailure decides how to go on after a failed call. Only a call that
+// did not run, or that may be repeated, is retried.
+func (p *plainRun) classifyFailure(selected *route.Rated, err error) attemptResult {
 	switch {
 	case errors.Is(err, service.ErrUnreachable):
-		chosen.Server.Breaker.Failure(clock.Now())
-		p.step(Disclaim, reason.ConnectFailed, chosen.Name)
-		return attemptEnd{why: reason.ConnectFailed}
+		selected.Server.Breaker.Failure(clock.Now())
+		p.step(Disclaim, reason.ConnectFailed, selected.Name)
+		return attemptResult{why: reason.ConnectFailed}
 	case errors.Is(err, service.ErrNotRun):
-		p.step(Disclaim, reason.BackendRefused, chosen.Name)
-		return attemptEnd{why: reason.BackendRefused}
-	case p.ask.Idempotent || !p.config.Protect.Once:
-		chosen.Server.Breaker.Failure(clock.Now())
-		p.step(Retry, reason.AnswerLost, chosen.Name)
-		return attemptEnd{why: reason.AnswerLost}
+		p.step(Disclaim, reason.BackendRefused, selected.Name)
+		return attemptResult{why: reason.BackendRefused}
+	case p.req.Idempotent || !p.config.Protect.Once:
+		selected.Server.Breaker.Failure(clock.Now())
+		p.step(Retry, reason.AnswerLost, selected.Name)
+		return attemptResult{why: reason.AnswerLost}
 	default:
-		chosen.Server.Breaker.Failure(clock.Now())
-		return attemptEnd{final: true, why: reason.AnswerLost}
+		selected.Server.Breaker.Failure(clock.Now())
+		return attemptResult{final: true, why: reason.AnswerLost}
 	}
 }
--- a/request/protections.go
+++ b/request/protections.go
@@ -1,31 +1,32 @@
 package request
 
-// Protections switches the mechanisms that keep the promises. Each can be
-// switched off in a trial, to see the violation that it prevents.
+// Protections switches the mechanisms that enforce the guarantees. A trial
+// switches one off to show the violation that it prevents.
 type Protections struct {
-	// Witness has an intent acknowledged before a call with an operation id
-	// is sent. Without it, "not run" may be told of a call that ran.
+	// Witness has the intent acknowledged by a witness before a call with an
+	// operation ID is sent. Without it, "not run" may be reported for a call
+	// that ran.
 	Witness bool
 	// Once keeps a call that may have run from being sent again. Without it, a
 	// non-idempotent call may run twice.
 	Once bool
-	// Match lets a token through only if it belongs to the request, the
-	// attempt and the position in hand. Without it, answers are mixed up.
+	// Match delivers a token only if it belongs to the current request and
+	// attempt and has the next position. Without it, answers get mixed up.
 	Match bool
-	// Cancel releases what a departed caller holds, until that is confirmed.
-	// Without it, decode memory stays held.
+	// Cancel cancels the work of a disconnected caller until the engine
+	// confirms it. Without it, decode memory stays reserved.
 	Cancel bool
-	// Orphans lets stewards cancel what dead homes left behind. Without it,
-	// decode memory stays held.
+	// Orphans lets stewards cancel the attempts of crashed home instances.
+	// Without it, decode memory stays reserved.
 	Orphans bool
-	// Leaving keeps new work from servers that are leaving.
+	// Leaving keeps new work away from draining servers.
 	Leaving bool
-	// Drain makes a planned stop wait for its requests. Without it, they are
-	// cut off.
+	// Drain makes a planned stop wait for the requests in flight. Without it,
+	// they are cut off.
 	Drain bool
 }
 
-// AllProtections returns every protection switched on.
+// AllProtections returns Protections with every protection on.
 func AllProtections() Protections {
 	return Protections{
 		Witness: true, Once: true, Match: true, Cancel: true, Orphans: true, Leaving: true, Drain: true,
--- a/request/reserve.go
+++ b/request/reserve.go
@@ -10,60 +10,61 @@
 	"github.com/mastwheel/mastwheel/trace"
 )
 
-// release gives promised memory back.
-func (m *modelRun) release(worker *route.Rated) {
+// release releases the reservation at a server.
+func (m *modelRun) release(server *route.Rated) {
 	if m.config.Policy.Reserve {
-		m.Stewards.Release(worker.Name, m.holdKey())
+		m.Stewards.Release(server.Name, m.holdKey())
 	}
 }
 
 func (m *modelRun) holdKey() route.HoldKey {
-	return route.HoldKey{RequestID: m.ask.ID, Attempt: m.attempt}
+	return route.HoldKey{RequestID: m.req.ID, Attempt: m.attempt}
 }
 
-// reserve waits for a turn at a prefill engine and a promise of decode memory
-// for as long as the first token can still come in time, and refuses as soon
-// as it cannot.
-func (m *modelRun) reserve(ctx context.Context) (attemptEnd, bool) {
+// reserve waits for a turn at a prefill engine and a reservation of decode
+// memory as long as the first token can still be in time. It refuses the
+// request as soon as that is no longer possible.
+func (m *modelRun) reserve(ctx context.Context) (attemptResult, bool) {
 	waited := reason.None
 	for {
 		if ctx.Err() != nil {
-			return attemptEnd{why: reason.CallerGone}, false
+			return attemptResult{why: reason.CallerGone}, false
 		}
 		why := m.tryReserve(ctx)
 		if why == reason.None {
 			m.step(Promise, reason.None, m.decode.Name)
-			return attemptEnd{}, true
+			return attemptResult{}, true
 		}
-		if m.giveUpWaiting(why, clock.Now()) {
-			m.noteRefused(why)
-			return attemptEnd{final: true, why: lateReason(why, waited)}, false
+		if m.shouldStopWaiting(why, clock.Now()) {
+			m.recordRefusedDecision(why)
+			return attemptResult{final: true, why: timeoutReason(why, waited)}, false
 		}
 		waited = why
 		m.pause(ctx, m.config.PollEvery)
 	}
 }
 
-// noteRefused records the last choice in vain, for the operator to see.
-func (m *modelRun) noteRefused(why reason.Reason) {
-	if m.refused == nil {
+// recordRefusedDecision adds the last failed decision to the trace for the
+// operator.
+func (m *modelRun) recordRefusedDecision(why reason.Reason) {
+	if m.refusedDecision == nil {
 		return
 	}
 	m.record.Add(clock.Now(), trace.Step{
-		Attempt: m.attempt, State: m.life.State().String(), Reason: why, Server: m.refused.Pick, Choice: m.refused,
+		Attempt: m.attempt, State: m.life.State().String(), Reason: why, Server: m.refusedDecision.Pick, Choice: m.refusedDecision,
 	})
 }
 
-// noteDropped keeps a decision in which every candidate was dropped, with the
-// filters that did it.
-func (m *modelRun) noteDropped(why reason.Reason, decision *route.Decision) {
+// keepFilteredDecision stores a decision in which every candidate was filtered
+// out. The decision names the filters.
+func (m *modelRun) keepFilteredDecision(why reason.Reason, decision *route.Decision) {
 	if why == reason.NoBackend {
-		m.refused = decision
+		m.refusedDecision = decision
 	}
 }
 
-// tryReserve asks once for both places. The turn at the prefill engine comes
-// first, since it says when the memory will be needed.
+// tryReserve requests both reservations once. The turn at the prefill engine
+// comes first, since it determines when the memory is needed.
 func (m *modelRun) tryReserve(ctx context.Context) reason.Reason {
 	if why := m.reservePrefill(ctx); why != reason.None {
 		return why
@@ -75,35 +76,38 @@
 	return why
 }
 
-// lateReason names what a request that ran out of time had waited for.
-func lateReason(why, waited reason.Reason) reason.Reason {
+// timeoutReason returns the reason for a request that ran out of time while it
+// waited for a reservation.
+func timeoutReason(why, waited reason.Reason) reason.Reason {
 	if why == reason.ReserveRefused || waited == reason.ReserveRefused {
 		return reason.NoDecodeMemory
 	}
 	return why
 }
 
-// giveUpWaiting says whether waiting for places is of no more use. A turn
-// that comes too late only comes later still. A request that has already
-// begun its answer goes on for a while longer.
-func (m *modelRun) giveUpWaiting(why reason.Reason, now time.Time) bool {
+// shouldStopWaiting reports whether waiting for reservations is pointless. A
+// turn that comes too late would only come later still. A request whose answer
+// has already begun waits longer.
+func (m *modelRun) shouldStopWaiting(why reason.Reason, now time.Time) bool {
 	hopeless := why == reason.DeadlineTooClose && m.config.Policy.RefuseEarly
 	if why == reason.NoBackend {
-		// Servers that failed this request may be better than none; with none
-		// excluded for that, there is nothing to wait for.
+		// Servers that failed this request may be better than none, so they are
+		// tried again. If none was excluded for that reason, there is nothing
+		// to wait for.
 		hopeless = len(m.triedDecode) == 0 && len(m.triedPrefill) == 0
 		m.triedDecode, m.triedPrefill = nil, nil
 	}
 	if m.cursor.next > 0 {
-		return now.After(m.last.Add(resumePatience))
+		return now.After(m.lastTokenAt.Add(resumeTimeout))
 	}
 	return hopeless || now.After(m.deadline)
 }
 
-// resumePatience is how long a begun answer waits for a place to resume.
-const resumePatience = 10 * time.Second
+// resumeTimeout is how long a request whose answer has begun waits for the
+// reservations to resume.
+const resumeTimeout = 10 * time.Second
 
-// reservePrefill asks the stewards of prefill engines for a turn, in the
+// reservePrefill requests a turn from the stewards of prefill engines in the
 // order of preference.
 func (m *modelRun) reservePrefill(ctx context.Context) reason.Reason {
 	query := m.query
@@ -112,57 +116,60 @@
 	query.Partner = nil
 	why := reason.NoBackend
 	for range m.service.Prefill {
-		decision := m.Runner.prefill.Decide(&query, m.Fleet, m.service.Prefill)
-		chosen := decision.Chosen
-		if chosen == nil {
-			m.noteDropped(why, &decision)
+		decision := m.Runner.prefillProfile.Decide(&query, m.Fleet, m.service.Prefill)
+		selected := decision.Chosen
+		if selected == nil {
+			m.keepFilteredDecision(why, &decision)
 			break
 		}
-		if why = m.askTurn(ctx, chosen, &query); why == reason.None {
-			m.note(&decision)
-			m.prefill = chosen
+		if why = m.reserveTurn(ctx, selected, &query); why == reason.None {
+			m.recordDecision(&decision)
+			m.prefill = selected
 			return reason.None
 		}
-		m.refused = &decision
-		query.Exclude = append(query.Exclude, chosen.Name)
+		m.refusedDecision = &decision
+		query.Exclude = append(query.Exclude, selected.Name)
 	}
 	return why
 }
 
-// askTurn asks for a turn that ends before the first token is due.
-func (m *modelRun) askTurn(ctx context.Context, chosen *route.Rated, query *route.Query) reason.Reason {
-	unread := query.Unread(chosen.Candidate)
-	reading := chosen.Server.ReadTime(unread)
+// reserveTurn requests a turn that ends before the first token is due.
+func (m *modelRun) reserveTurn(ctx context.Context, selected *route.Rated, query *route.Query) reason.Reason {
+	uncached := query.Unread(selected.Candidate)
+	prefillTime := selected.Server.ReadTime(uncached)
 	transfer := m.transferTime()
 	if !m.config.Policy.Reserve {
-		m.landIn = reading + transfer
+		m.untilArrival = prefillTime + transfer
 		return reason.None
 	}
-	mostAhead := anyAhead
+	maxAhead := unlimitedAhead
 	if m.cursor.next == 0 {
-		slack := m.deadline.Sub(query.Now) - reading - transfer - firstStep
+		slack := m.deadline.Sub(query.Now) - prefillTime - transfer - firstDecodeStep
 		if slack < 0 {
 			return reason.DeadlineTooClose
 		}
-		mostAhead = chosen.Server.ReadTokens(slack)
+		maxAhead = selected.Server.ReadTokens(slack)
 	}
-	grant := m.askSteward(ctx, chosen.Name, route.Ask{
-		HoldKey: m.holdKey(), Tokens: max(unread, 1), MostAhead: mostAhead, TTL: reservationTTL,
+	grant := m.requestReservation(ctx, selected.Name, route.Ask{
+		HoldKey: m.holdKey(), Tokens: max(uncached, 1), MostAhead: maxAhead, TTL: reservationTTL,
 	})
-	m.landIn = chosen.Server.ReadTime(grant.Ahead+unread) + transfer
+	m.untilArrival = selected.Server.ReadTime(grant.Ahead+uncached) + transfer
 	return grant.Refused
 }
 
 const (
-	// anyAhead lets a begun answer resume however long the queue is.
-	anyAhead = 1 << 40
-	// firstStep is the time of the first decode step.
-	firstStep = 40 * time.Millisecond
-	// reservationTTL outlasts a prefill and a transfer within the targets.
+	// unlimitedAhead lets a request whose answer has begun resume however long
+	// the queue is.
+	unlimitedAhead = 1 << 40
+	// firstDecodeStep is the time of the first decode step.
+	firstDecodeStep = 40 * time.Millisecond
+	// reservationTTL exceeds the time of a prefill and a transfer that meet the
+	// targets.
 	reservationTTL = 3 * time.Second
 )
 
-// transferTime estimates the transfer by what was measured at any engine.
+// transferTime estimates the transfer time from the first decode engine that
+// has measurements.
 func (m *modelRun) transferTime() time.Duration {
 	for _, backend := range m.service.Decode {
 		server := m.Fleet.Server(backend.Name)
@@ -176,8 +183,8 @@
 	return 0
 }
 
-// reserveDecode asks the stewards of decode engines for memory, in the order
-// of preference.
+// reserveDecode requests memory from the stewards of decode engines in the
+// order of preference.
 func (m *modelRun) reserveDecode(ctx context.Context) reason.Reason {
 	query := m.query
 	query.Now = clock.Now()
@@ -185,50 +192,50 @@
 	query.Partner = m.prefill.Backend
 	why := reason.NoBackend
 	for range m.service.Decode {
-		decision := m.Runner.decode.Decide(&query, m.Fleet, m.service.Decode)
+		decision := m.Runner.decodeProfile.Decide(&query, m.Fleet, m.service.Decode)
 		if decision.Chosen == nil {
-			m.noteDropped(why, &decision)
+			m.keepFilteredDecision(why, &decision)
 			break
 		}
-		if why = m.askMemory(ctx, decision.Chosen.Name); why == reason.None {
-			m.note(&decision)
+		if why = m.reserveMemory(ctx, decision.Chosen.Name); why == reason.None {
+			m.recordDecision(&decision)
 			m.decode = decision.Chosen
 			return reason.None
 		}
-		m.refused = &decision
+		m.refusedDecision = &decision
 		query.Exclude = append(query.Exclude, decision.Chosen.Name)
 	}
 	return why
 }
 
-func (m *modelRun) askMemory(ctx context.Context, worker string) reason.Reason {
+func (m *modelRun) reserveMemory(ctx context.Context, server string) reason.Reason {
 	if !m.config.Policy.Reserve {
 		return reason.None
 	}
-	return m.askSteward(ctx, worker, route.Ask{
-		HoldKey: m.holdKey(), Pieces: m.query.Pieces, TTL: m.landIn + reservationTTL,
-		LandIn: m.landIn, HoldFor: m.holdTime(), Headroom: m.headroom(),
+	return m.requestReservation(ctx, server, route.Ask{
+		HoldKey: m.holdKey(), Pieces: m.query.Pieces, TTL: m.untilArrival + reservationTTL,
+		LandIn: m.untilArrival, HoldFor: m.decodeTime(), Headroom: m.headroom(),
 	}).Refused
 }
 
-// headroom is the memory that must stay free for others. A begun answer
-// yields to nobody.
+// headroom is the memory that must stay free for other requests. A request
+// whose answer has begun need not leave any.
 func (m *modelRun) headroom() int {
 	if m.cursor.next > 0 {
 		return 0
 	}
-	return route.Headroom(m.place.OverShare(), m.below)
+	return route.Headroom(m.place.OverShare(), m.stepsBelowTop)
 }
 
-// holdTime is how long the decode engine is expected to hold the request, at
-// the pace that the target allows. The pace that was measured is a little
-// quicker, and promising by it ends in transfers that find no memory.
-func (m *modelRun) holdTime() time.Duration {
-	return time.Duration(m.ask.MaxTokens-m.cursor.next) * m.service.TBT
+// decodeTime is how long the decode engine is expected to hold the memory, at
+// the pace of the target. The measured pace is a little faster, and
+// reservations based on it lead to transfers that find no free memory.
+func (m *modelRun) decodeTime() time.Duration {
+	return time.Duration(m.req.MaxTokens-m.cursor.next) * m.service.TBT
 }
 
-func (m *modelRun) askSteward(ctx context.Context, worker string, ask route.Ask) route.Grant {
+func (m *modelRun) requestReservation(ctx context.Context, server string, req route.Ask) route.Grant {
 	ctx, cancel := context.WithTimeout(ctx, m.config.ReserveTimeout)
 	defer cancel()
-	return m.Stewards.Reserve(ctx, worker, ask)
+	return m.Stewards.Reserve(ctx, server, req)
 }
--- a/request/runner.go
+++ b/request/runner.go
@@ -19,52 +19,59 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// Stewards reaches the steward of any decode engine.
+// Stewards sends requests to the steward of any decode engine.
 type Stewards interface {
-	Reserve(ctx context.Context, worker string, ask route.Ask) route.Grant
-	// Release returns at once; a lost message lapses with the reservation.
-	Release(worker string, key route.HoldKey)
+	Reserve(ctx context.Context, server string, req route.Ask) route.Grant
+	// Release returns at once. If the message is lost, the reservation expires
+	// by itself.
+	Release(server string, key route.HoldKey)
 }
 
-// Witnesses reaches the witness that an operation id names.
+// Witnesses sends requests to the witness that an operation ID names.
 type Witnesses interface {
 	Intent(ctx context.Context, id operation.ID) reason.Reason
-	// Settle returns at once; a lost message leaves the witness at unknown.
+	// Settle returns at once. If the message is lost, the outcome stays unknown
+	// at the witness.
 	Settle(id operation.ID, status operation.Status)
 }
 
-// Config bounds what one request may take.
+// Config holds the limits and the policy of one request.
 type Config struct {
-	// PollEvery is the mean pause between two tries for decode memory.
+	// PollEvery is the mean pause between two attempts to reserve decode
+	// memory.
 	PollEvery time.Duration
-	// TokenTimeout is the silence after which a stream counts as broken. It
-	// must exceed an ordinary pause of an engine; longer delays the resume.
+	// TokenTimeout is the time without a token after which a stream counts as
+	// broken. It must exceed an ordinary pause of an engine. A longer timeout
+	// delays the resume.
 	TokenTimeout time.Duration
-	// ImportTimeout bounds one transfer of which nothing is known yet, and
-	// ShortestImport one that the measured rate says is quick. A stalled
-	// transfer must leave time for another decode engine within the window; a
-	// bound below the links' ordinary jitter gives up transfers that were fine.
+	// ImportTimeout bounds one transfer when no rate is known yet.
+	// ShortestImport is the lower bound of the timeout when the known rate
+	// predicts a quick transfer. A stalled transfer must leave time for another
+	// decode engine within the window. A timeout below the ordinary jitter of
+	// the links would abort healthy transfers.
 	ImportTimeout  time.Duration
 	ShortestImport time.Duration
 	// PlainTimeout bounds one call to a plain backend server.
 	PlainTimeout time.Duration
-	// ReserveTimeout bounds one question to a steward or a witness.
+	// ReserveTimeout bounds one request to a steward or a witness.
 	ReserveTimeout time.Duration
 	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts int
-	// CancelEvery is the pause between two tries to cancel an attempt.
+	// CancelEvery is the mean pause between two attempts to cancel an attempt
+	// at an engine.
 	CancelEvery time.Duration
-	// CancelFor is how long a cancel is repeated; then the engine counts as
-	// dead, and its memory with it.
+	// CancelFor is how long a cancel is repeated. After that the engine is
+	// considered dead and its memory released.
 	CancelFor time.Duration
-	// Protect says which protections are on: all of them, but in trials that
-	// show what each is for.
+	// Protect selects the protections. All are on, except in trials that show
+	// what each one prevents.
 	Protect Protections
-	// Policy places model requests.
+	// Policy selects the servers of model requests.
 	Policy route.Policy
 }
 
-// DefaultConfig suits engines of the sizes in the brief.
+// DefaultConfig returns the defaults for engines of the sizes in the
+// requirements.
 func DefaultConfig() Config {
 	return Config{
 		PollEvery:      20 * time.Millisecond,
@@ -81,9 +88,9 @@
 	}
 }
 
-// Deps is what a Runner works with.
+// Deps are the dependencies of a Runner.
 type Deps struct {
-	// Home is this instance with its incarnation, as engines know it.
+	// Home is this instance with its incarnation, as it is sent to engines.
 	Home      string
 	Zone      string
 	View      func() *table.View
@@ -93,63 +100,65 @@
 	Services  service.Client
 	Stewards  Stewards
 	Witnesses Witnesses
-	// Operations and Uptime may be nil where no operation ids are used.
+	// Operations and Uptime may be nil when no operation IDs are used.
 	Operations *operation.Home
 	Uptime     func() time.Duration
-	// Stale says that the table is too old to take requests with; may be nil.
+	// Stale reports whether the table is too old to accept requests. It may be
+	// nil.
 	Stale   func() bool
 	Metrics *metrics.Set
 	Traces  *trace.Ring
-	// Random returns a number in [0,1); it jitters pauses.
+	// Random returns a number in [0,1) for the jitter of pauses.
 	Random func() float64
 }
 
-// Runner runs requests for which this instance is the home.
+// Runner runs the requests whose home is this instance.
 type Runner struct {
 	Deps
-	config  Config
-	prefill *route.Profile
-	decode  *route.Profile
-	plain   *route.Profile
-	budgets sync.Map // service name -> *route.Budget
-	claims  claims
-	// cancels waits for the cancels that outlive their requests.
+	config         Config
+	prefillProfile *route.Profile
+	decodeProfile  *route.Profile
+	plainProfile   *route.Profile
+	budgets        sync.Map // service name -> *route.Budget
+	claims         claims
+	// cancels tracks the cancels that outlive their requests.
 	cancels sync.WaitGroup
 }
 
 // NewRunner returns a Runner.
 func NewRunner(deps Deps, config Config) *Runner {
 	r := &Runner{
-		Deps:    deps,
-		config:  config,
-		prefill: config.Policy.Prefill,
-		decode:  config.Policy.Decode,
-		plain:   route.PlainProfile(),
+		Deps:           deps,
+		config:         config,
+		prefillProfile: config.Policy.Prefill,
+		decodeProfile:  config.Policy.Decode,
+		plainProfile:   route.PlainProfile(),
 	}
 	if !config.Protect.Leaving {
 		leaving := route.LeavingFilter{}.Name()
-		r.prefill, r.decode, r.plain = r.prefill.Without(leaving), r.decode.Without(leaving), r.plain.Without(leaving)
+		r.prefillProfile, r.decodeProfile, r.plainProfile = r.prefillProfile.Without(leaving), r.decodeProfile.Without(leaving), r.plainProfile.Without(leaving)
 	}
 	return r
 }
 
-// Wait blocks until every cancel was confirmed or given up.
+// Wait blocks until every cancel was confirmed or abandoned.
 func (r *Runner) Wait() { r.cancels.Wait() }
 
-// Result says how a request ended.
+// Result is how a request ended.
 type Result struct {
 	RequestID string
 	Outcome   reason.Outcome
 	Reason    reason.Reason
-	// RetryAfter is when the caller may try again; 0 where that is no use.
+	// RetryAfter is when the caller may retry. It is 0 where a retry does not
+	// help.
 	RetryAfter time.Duration
-	// Tokens counts the tokens delivered, PromptTokens those of the prompt.
+	// Tokens counts the delivered tokens, PromptTokens those of the prompt.
 	Tokens       int
 	PromptTokens int
 	Attempts     int
 }
 
-// run is one request while it lives.
+// run is one request in progress.
 type run struct {
 	*Runner
 	life    Life
@@ -157,12 +166,13 @@
 	service *table.ServiceView
 	op      *operation.ID
 	attempt int
-	// noted is set once the witness has acknowledged the intent.
-	noted bool
+	// intentRecorded is set once the witness has acknowledged the intent.
+	intentRecorded bool
 }
 
-// begin opens the books on a request; service is nil when no row has its name.
-func (r *Runner) begin(id string, service *table.ServiceView, team string, view *table.View) *run {
+// newRun starts the trace of a request. service is nil when no row has its
+// name.
+func (r *Runner) newRun(id string, service *table.ServiceView, team string, view *table.View) *run {
 	record := &trace.Request{
 		ID: id, Team: team, Home: r.Home, Revision: view.Revision, Arrived: clock.Now(),
 	}
@@ -172,7 +182,8 @@
 	return &run{Runner: r, record: record, service: service}
 }
 
-// refusal says why a request is refused whatever it asks for.
+// refusal returns the reason to refuse a request that does not depend on its
+// content.
 func (r *Runner) refusal(known bool) reason.Reason {
 	if r.View().Revision == 0 || (r.Stale != nil && r.Stale()) {
 		return reason.StaleTable
@@ -183,7 +194,7 @@
 	return reason.None
 }
 
-// step moves the life on and notes why.
+// step applies an event and adds it to the trace with its reason.
 func (r *run) step(event Event, why reason.Reason, server string) {
 	r.life.Step(event)
 	r.record.Add(clock.Now(), trace.Step{
@@ -191,48 +202,49 @@
 	})
 }
 
-func (r *run) note(decision *route.Decision) {
+func (r *run) recordDecision(decision *route.Decision) {
 	r.record.Add(clock.Now(), trace.Step{
 		Attempt: r.attempt, State: r.life.State().String(), Server: decision.Pick, Choice: decision,
 	})
 }
 
-// finish closes the books on a request.
+// finish records the outcome of a request in metrics, trace, log and operation
+// status.
 func (r *run) finish(why reason.Reason, retryAfter time.Duration) Result {
 	outcome := r.life.Outcome()
 	if outcome == reason.Done {
 		why = reason.None
 	}
-	r.claims.drop(r.record.ID)
+	r.claims.remove(r.record.ID)
 	r.record.Outcome = outcome
 	r.record.Reason = why
 	r.Metrics.Ended(r.record.Service, outcome, why)
 	if r.op != nil {
 		status := operation.Status{Outcome: outcome, Reason: why}
 		r.Operations.End(*r.op, status)
-		if r.noted {
+		if r.intentRecorded {
 			r.Witnesses.Settle(*r.op, status)
 		}
 	}
 	r.Traces.Keep(r.record)
-	r.log(outcome, why)
+	r.logEnd(outcome, why)
 	return Result{
 		RequestID: r.record.ID, Outcome: outcome, Reason: why, RetryAfter: retryAfter,
 		Tokens: r.record.Tokens, PromptTokens: r.record.Prompt, Attempts: r.attempt + 1,
 	}
 }
 
-// Verbosity of the log lines about requests.
+// Log levels of the lines about requests that ended.
 const (
-	logFailures = 1
-	logEvery    = 2
+	logLevelFailures = 1
+	logLevelAll      = 2
 )
 
-// log writes a line about a request that ended.
-func (r *run) log(outcome reason.Outcome, why reason.Reason) {
-	level := klog.Level(logFailures)
+// logEnd logs how a request ended.
+func (r *run) logEnd(outcome reason.Outcome, why reason.Reason) {
+	level := klog.Level(logLevelFailures)
 	if outcome == reason.Done {
-		level = logEvery
+		level = logLevelAll
 	}
 	if !klog.V(level).Enabled() {
 		return
@@ -252,9 +264,9 @@
 	return r.finish(reason.CallerGone, 0)
 }
 
-// open begins the operation of a request that carries an id. It returns false
-// when the operation must not run.
-func (r *run) open(id *operation.ID) (Result, bool) {
+// beginOperation begins the operation of a request that carries an ID. It
+// returns false when the operation must not run.
+func (r *run) beginOperation(id *operation.ID) (Result, bool) {
 	if id == nil {
 		return Result{}, true
 	}
@@ -270,9 +282,10 @@
 	return Result{RequestID: r.record.ID, Outcome: status.Outcome, Reason: why}, false
 }
 
-// witness has the intent acknowledged before the first byte is sent.
-func (r *run) witness(ctx context.Context) reason.Reason {
-	if r.op == nil || r.noted || !r.config.Protect.Witness {
+// recordIntent has the witness acknowledge the intent before the first byte is
+// sent.
+func (r *run) recordIntent(ctx context.Context) reason.Reason {
+	if r.op == nil || r.intentRecorded || !r.config.Protect.Witness {
 		return reason.None
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.config.ReserveTimeout)
@@ -280,7 +293,7 @@
 	if why := r.Witnesses.Intent(ctx, *r.op); why != reason.None {
 		return why
 	}
-	r.noted = true
+	r.intentRecorded = true
 	return reason.None
 }
 
@@ -292,7 +305,8 @@
 	return found.(*route.Budget)
 }
 
-// pause waits a jittered while; it returns false when ctx ended first.
+// pause waits for a jittered time around mean. It returns false when ctx ended
+// first.
 func (r *Runner) pause(ctx context.Context, mean time.Duration) bool {
 	return wait.For(ctx, time.Duration(float64(mean)*(0.5+r.Random())))
 }
--- a/request/stream.go
+++ b/request/stream.go
@@ -11,10 +11,10 @@
 	"github.com/mastwheel/mastwheel/trace"
 )
 
-// stream passes the decode engine's tokens to the caller. A stream that breaks
-// is taken up again at the same engine, which still has the KV cache, before
-// the attempt is given up.
-func (m *modelRun) stream(ctx context.Context) attemptEnd {
+// stream delivers the tokens of the decode engine to the caller. A broken
+// stream is resumed at the same engine, which still has the KV cache, before
+// the attempt fails.
+func (m *modelRun) stream(ctx context.Context) attemptResult {
 	target := m.decode
 	end := target.Server.Begin(0)
 	defer end()
@@ -23,7 +23,7 @@
 		before := m.cursor.next
 		if why = m.streamOnce(ctx, target); why == reason.None {
 			target.Server.Breaker.Success()
-			return attemptEnd{delivered: true}
+			return attemptResult{delivered: true}
 		}
 		if ctx.Err() != nil || (why == reason.DecodeFailed && before == m.cursor.next) {
 			break
@@ -34,20 +34,21 @@
 		})
 	}
 	m.decodeFailed(ctx, target)
-	return attemptEnd{why: why}
+	return attemptResult{why: why}
 }
 
-// maxResumes bounds how often a stream is taken up again at one engine.
+// maxResumes bounds how often a stream is resumed at one engine.
 const maxResumes = 2
 
-// streamOnce reads one stream to its end, or returns why it ended early.
+// streamOnce reads one stream to its end, or returns the reason why it ended
+// early.
 func (m *modelRun) streamOnce(ctx context.Context, target *route.Rated) reason.Reason {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	watchdog := time.AfterFunc(m.config.TokenTimeout, stop)
 	defer watchdog.Stop()
 	stream, err := m.Engines.Decode(ctx, target.Backend.Address, engine.DecodeOrder{
-		Attempt: m.engineAttempt(), From: m.cursor.next, MaxTokens: m.ask.MaxTokens, Priority: m.service.Priority,
+		Attempt: m.engineAttempt(), From: m.cursor.next, MaxTokens: m.req.MaxTokens, Priority: m.service.Priority,
 	})
 	if err != nil {
 		return reason.DecodeFailed
@@ -59,7 +60,7 @@
 			return reason.StreamBroken
 		}
 		watchdog.Reset(m.config.TokenTimeout)
-		if !m.pass(token) {
+		if !m.deliverToken(token) {
 			return reason.StreamBroken
 		}
 		if token.Last && m.cursor.next > token.Position {
@@ -68,12 +69,12 @@
 	}
 }
 
-// pass offers one token to the cursor. It returns false when the stream is of
-// no further use.
-func (m *modelRun) pass(token engine.Token) bool {
+// deliverToken offers one token to the cursor. It returns false when the stream
+// must not be read further.
+func (m *modelRun) deliverToken(token engine.Token) bool {
 	if !m.config.Protect.Match {
 		m.cursor.next = token.Position
-		token.RequestID, token.Number = m.ask.ID, m.attempt
+		token.RequestID, token.Number = m.req.ID, m.attempt
 	}
 	dropped, err := m.cursor.offer(m.attempt, token)
 	if err != nil {
@@ -83,28 +84,28 @@
 		m.Metrics.Dropped(dropped)
 		return true
 	}
-	m.last = clock.Now()
+	m.lastTokenAt = clock.Now()
 	if m.record.Tokens == 0 {
-		m.first = m.last
+		m.firstTokenAt = m.lastTokenAt
 	}
 	m.record.Tokens++
 	return true
 }
 
-// decodeFailed cancels what the engine may still hold.
+// decodeFailed cancels the attempt at an engine that may still work on it.
 func (m *modelRun) decodeFailed(ctx context.Context, target *route.Rated) {
 	if ctx.Err() == nil {
 		target.Server.Breaker.Failure(clock.Now())
 		m.triedDecode = append(m.triedDecode, target.Name)
 	}
-	m.cancelLater(target.Backend.Address, m.engineAttempt())
+	m.cancelInBackground(target.Backend.Address, m.engineAttempt())
 }
 
-// measure feeds the latencies of a delivered answer into the metrics.
-func (m *modelRun) measure() {
-	m.Metrics.FirstToken.WithLabelValues(m.service.Name).Observe(m.first.Sub(m.record.Arrived).Seconds())
+// observeLatency records the latencies of a delivered answer in the metrics.
+func (m *modelRun) observeLatency() {
+	m.Metrics.FirstToken.WithLabelValues(m.service.Name).Observe(m.firstTokenAt.Sub(m.record.Arrived).Seconds())
 	if m.record.Tokens > 1 {
-		between := m.last.Sub(m.first).Seconds() / float64(m.record.Tokens-1)
+		between := m.lastTokenAt.Sub(m.firstTokenAt).Seconds() / float64(m.record.Tokens-1)
 		m.Metrics.BetweenTokens.WithLabelValues(m.service.Name).Observe(between)
 	}
 }
--- a/request/transfer.go
+++ b/request/transfer.go
@@ -12,105 +12,107 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// runPrefill reads the prompt on the prefill engine that promised a turn.
-func (m *modelRun) runPrefill(ctx context.Context) (engine.PrefillResult, attemptEnd, bool) {
-	chosen := m.prefill
-	if !chosen.Server.Breaker.Allow(clock.Now()) {
-		return engine.PrefillResult{}, attemptEnd{why: reason.PrefillRefused}, false
+// runPrefill prefills the prompt on the engine that reserved a turn.
+func (m *modelRun) runPrefill(ctx context.Context) (engine.PrefillResult, attemptResult, bool) {
+	selected := m.prefill
+	if !selected.Server.Breaker.Allow(clock.Now()) {
+		return engine.PrefillResult{}, attemptResult{why: reason.PrefillRefused}, false
 	}
-	m.step(Send, reason.None, chosen.Name)
-	result, err := m.orderPrefill(ctx, chosen)
+	m.step(Send, reason.None, selected.Name)
+	result, err := m.orderPrefill(ctx, selected)
 	if err == nil {
-		chosen.Server.Breaker.Success()
-		m.step(Prefilled, reason.None, chosen.Name)
-		return result, attemptEnd{}, true
+		selected.Server.Breaker.Success()
+		m.step(Prefilled, reason.None, selected.Name)
+		return result, attemptResult{}, true
 	}
-	m.triedPrefill = append(m.triedPrefill, chosen.Name)
-	return engine.PrefillResult{}, m.prefillFailed(ctx, chosen, err), false
+	m.triedPrefill = append(m.triedPrefill, selected.Name)
+	return engine.PrefillResult{}, m.prefillFailed(ctx, selected, err), false
 }
 
-func (m *modelRun) orderPrefill(ctx context.Context, chosen *route.Rated) (engine.PrefillResult, error) {
-	end := chosen.Server.Begin(m.query.PromptTokens)
+func (m *modelRun) orderPrefill(ctx context.Context, selected *route.Rated) (engine.PrefillResult, error) {
+	end := selected.Server.Begin(m.query.PromptTokens)
 	defer end()
 	started := clock.Now()
-	alone := chosen.Server.InFlight() == 1 && chosen.Server.WaitingTokens() <= m.query.PromptTokens
-	result, err := m.Engines.Prefill(ctx, chosen.Backend.Address, engine.PrefillOrder{
-		Attempt: m.engineAttempt(), Model: m.service.Model, Prompt: m.ask.Prompt, Priority: m.service.Priority,
+	alone := selected.Server.InFlight() == 1 && selected.Server.WaitingTokens() <= m.query.PromptTokens
+	result, err := m.Engines.Prefill(ctx, selected.Backend.Address, engine.PrefillOrder{
+		Attempt: m.engineAttempt(), Model: m.service.Model, Prompt: m.req.Prompt, Priority: m.service.Priority,
 	})
 	if err == nil && alone {
-		chosen.Server.Prefills.Measure(result.PromptTokens-result.CachedTokens, clock.Since(started))
+		selected.Server.Prefills.Measure(result.PromptTokens-result.CachedTokens, clock.Since(started))
 	}
 	return result, err
 }
 
-func (m *modelRun) prefillFailed(ctx context.Context, chosen *route.Rated, err error) attemptEnd {
+func (m *modelRun) prefillFailed(ctx context.Context, selected *route.Rated, err error) attemptResult {
 	notRun := errors.Is(err, engine.ErrUnreachable) || errors.Is(err, engine.ErrRefused)
 	if notRun {
-		m.step(Disclaim, reason.PrefillRefused, chosen.Name)
+		m.step(Disclaim, reason.PrefillRefused, selected.Name)
 	} else {
-		m.cancelLater(chosen.Backend.Address, m.engineAttempt())
+		m.cancelInBackground(selected.Backend.Address, m.engineAttempt())
 	}
 	if ctx.Err() != nil {
-		return attemptEnd{why: reason.CallerGone}
+		return attemptResult{why: reason.CallerGone}
 	}
 	if !errors.Is(err, engine.ErrRefused) {
-		chosen.Server.Breaker.Failure(clock.Now())
+		selected.Server.Breaker.Failure(clock.Now())
 	}
 	if notRun {
-		return attemptEnd{why: reason.PrefillRefused}
+		return attemptResult{why: reason.PrefillRefused}
 	}
-	return attemptEnd{why: reason.PrefillFailed}
+	return attemptResult{why: reason.PrefillFailed}
 }
 
-// transfer hands the KV cache to the decode engine, or to another one within
-// the window when the first one fails.
-func (m *modelRun) transfer(ctx context.Context, result engine.PrefillResult) (attemptEnd, bool) {
+// transfer sends the KV cache to the decode engine. When that fails, it tries
+// another decode engine within the window.
+func (m *modelRun) transfer(ctx context.Context, result engine.PrefillResult) (attemptResult, bool) {
 	expires := clock.Now().Add(time.Duration(result.WindowMillis) * time.Millisecond)
 	for {
 		why := m.orderImport(ctx, result)
 		if why == reason.None {
 			m.step(Imported, reason.None, m.decode.Name)
-			return attemptEnd{}, true
+			return attemptResult{}, true
 		}
 		if ctx.Err() != nil || why == reason.HandoffExpired || clock.Now().After(expires) {
-			return attemptEnd{why: why}, false
+			return attemptResult{why: why}, false
 		}
 		if why == reason.HandoffNoMemory && m.waitForMemory(ctx, expires) {
 			continue
 		}
 		m.release(m.decode)
 		m.triedDecode = append(m.triedDecode, m.decode.Name)
-		m.landIn = 0
+		m.untilArrival = 0
 		if m.reserveDecode(ctx) != reason.None {
-			return attemptEnd{why: why}, false
+			return attemptResult{why: why}, false
 		}
 		m.Metrics.Retried(why)
 		m.step(Promise, why, m.decode.Name)
 	}
 }
 
-// waitForMemory waits a little for memory that was promised and is not free
-// yet: whoever holds it is expected to end. It returns false when half of the
-// window is over and another engine had better be tried.
+// waitForMemory pauses for memory that is reserved but not free yet, since the
+// request that uses it is expected to end. It returns false when less than
+// windowForOtherEngine is left, so that another engine is tried.
 func (m *modelRun) waitForMemory(ctx context.Context, expires time.Time) bool {
-	if !m.config.Policy.Reserve || clock.Until(expires) < memoryPatience {
+	if !m.config.Policy.Reserve || clock.Until(expires) < windowForOtherEngine {
 		return false
 	}
 	return m.pause(ctx, m.config.PollEvery)
 }
 
-// memoryPatience is the part of the window that is left for another engine.
-const memoryPatience = 400 * time.Millisecond
+// windowForOtherEngine is the time that is kept for a transfer to another
+// engine. It is half of the usual window of 800 ms.
+const windowForOtherEngine = 400 * time.Millisecond
 
-// importPatience is how many times its expected length a transfer may take.
-const importPatience = 4
+// importTimeoutFactor is the ratio of the timeout of a transfer to its expected
+// time.
+const importTimeoutFactor = 4
 
 func (m *modelRun) importTimeout(target *route.Rated) time.Duration {
 	expected, known := target.Server.Transfers.Time(m.query.PromptTokens)
 	if !known {
 		return m.config.ImportTimeout
 	}
-	return min(max(importPatience*expected, m.config.ShortestImport), m.config.ImportTimeout)
+	return min(max(importTimeoutFactor*expected, m.config.ShortestImport), m.config.ImportTimeout)
 }
 
 func (m *modelRun) orderImport(ctx context.Context, result engine.PrefillResult) reason.Reason {
@@ -137,7 +139,7 @@
 		return reason.HandoffFailed
 	default:
 		target.Server.Breaker.Failure(clock.Now())
-		m.cancelLater(target.Backend.Address, m.engineAttempt())
+		m.cancelInBackground(target.Backend.Address, m.engineAttempt())
 		return reason.HandoffFailed
 	}
 }
