--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -18,18 +18,18 @@
 	"github.com/mastwheel/mastwheel/standin"
 )
 
-// site is one instance with a real listener for callers and everything else
+// testSite is one instance with a real listener for callers. Everything else is
 // in memory.
-type site struct {
+type testSite struct {
 	*instance.Instance
 	farm    *standin.Farm
 	plain   *standin.Plain
 	address string
 }
 
-func newSite(t *testing.T) *site {
+func newTestSite(t *testing.T) *testSite {
 	t.Helper()
-	s := &site{farm: standin.SampleFarm(), plain: standin.NewPlain(0)}
+	s := &testSite{farm: standin.SampleFarm(), plain: standin.NewPlain(0)}
 	record, err := json.Marshal(standin.SampleEdit())
 	if err != nil {
 		t.Fatal(err)
@@ -68,8 +68,8 @@
 	return s
 }
 
-// send sends one HTTP request and returns the answer with its body.
-func (s *site) send(method, path, body string, headers ...string) (*http.Response, string) {
+// send sends one HTTP request and returns the answer and its body.
+func (s *testSite) send(method, path, body string, headers ...string) (*http.Response, string) {
 	request, err := http.NewRequest(method, "http://"+s.address+path, strings.NewReader(body))
 	So(err, ShouldBeNil)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -84,8 +84,8 @@
 }
 
 func TestCallers(t *testing.T) {
-	s := newSite(t)
-	Convey("A chat completion comes whole, with its outcome", t, func() {
+	s := newTestSite(t)
+	Convey("A chat completion is returned whole with its outcome", t, func() {
 		body := `{"model":"dossier","messages":[{"role":"user","content":[{"type":"text","text":"hola"}]}],"max_tokens":3}`
 		response, answer := s.send("POST", PathChat, body)
 		So(response.StatusCode, ShouldEqual, 200)
@@ -93,19 +93,19 @@
 		So(answer, ShouldContainSubstring, standin.Answer("user: hola\n", 3))
 		So(answer, ShouldContainSubstring, `"object":"chat.completion"`)
 	})
-	Convey("A stream has a chunk a token, the outcome in the last, and an end mark", t, func() {
+	Convey("A stream has one chunk for each token, the outcome in the last chunk, and an end marker", t, func() {
 		response, answer := s.send("POST", PathCompletions, `{"model":"dossier","prompt":"hola","max_tokens":4,"stream":true}`)
 		So(response.Header.Get("Content-Type"), ShouldEqual, "text/event-stream")
 		So(strings.Count(answer, "data: {"), ShouldEqual, 4)
 		So(answer, ShouldContainSubstring, `"outcome":"done"`)
 		So(answer, ShouldEndWith, "data: [DONE]\n\n")
 	})
-	Convey("A plain call passes method, path, query and status through", t, func() {
+	Convey("A plain call forwards the method, path and query, and returns the status", t, func() {
 		response, answer := s.send("GET", "/services/plate-desk/plates/AB-12?full=1", "")
 		So(response.StatusCode, ShouldEqual, 200)
 		So(answer, ShouldContainSubstring, "GET /plates/AB-12?full=1")
 	})
-	Convey("Errors have the shape of their interface, and say that nothing ran", t, func() {
+	Convey("Errors have the format of their interface and the outcome not_run", t, func() {
 		cases := []struct {
 			method, path, body string
 			status             int
@@ -128,17 +128,17 @@
 			So(response.Header.Get(HeaderRequestID), ShouldNotBeBlank)
 		}
 	})
-	Convey("Too large a body is refused before it is read whole", t, func() {
+	Convey("A body that is too large is refused before all of it is read", t, func() {
 		response, answer := s.send("POST", PathCompletions, strings.Repeat("x", 65<<10))
 		So(response.StatusCode, ShouldEqual, 413)
 		So(answer, ShouldContainSubstring, `"code":"too_large"`)
 	})
-	Convey("An idempotency key of another form is refused, and says where to get one", t, func() {
+	Convey("A malformed idempotency key is refused, and the error names the path that issues keys", t, func() {
 		response, answer := s.send("POST", "/services/plate-desk/hold", "", HeaderIdempotency, "my-key")
 		So(response.StatusCode, ShouldEqual, 400)
 		So(answer, ShouldContainSubstring, PathEntry)
 	})
-	Convey("With nobody to witness it, a call with an operation id is not sent", t, func() {
+	Convey("A call with an operation ID is not sent when no witness is reachable", t, func() {
 		key := "m1~sabana-1~" + strings.Split(s.Self().String(), ".")[1] + "~gone~1~zzzz~zzzz~n1"
 		response, _ := s.send("POST", "/services/plate-desk/hold", "", HeaderIdempotency, key)
 		So(response.StatusCode, ShouldEqual, 503)
@@ -152,8 +152,8 @@
 	})
 }
 
-func TestSlowAndTruncatedInput(t *testing.T) {
-	s := newSite(t)
+func TestUnreadableInput(t *testing.T) {
+	s := newTestSite(t)
 	for name, input := range map[string]string{
 		"truncated": "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{",
 		"no header": "POST /v1/comp",
@@ -177,9 +177,10 @@
 	}
 }
 
-// A caller that goes away silently, at any stage, has its work cancelled.
-func TestDepartureReleasesMemory(t *testing.T) {
-	s := newSite(t)
+// The attempt of a caller that disconnects silently must be cancelled and its
+// decode memory released, for streamed and for whole answers.
+func TestDisconnectedCallerReleasesMemory(t *testing.T) {
+	s := newTestSite(t)
 	for _, streamed := range []string{"true", "false"} {
 		conn, err := net.Dial("tcp", s.address)
 		if err != nil {
@@ -199,7 +200,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		if engine.Ledger().Finished != 0 {
-			t.Fatal("the answer ran to its end instead of being cancelled")
+			t.Fatal("the request finished instead of being cancelled")
 		}
 	}
 }
@@ -215,8 +216,8 @@
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"x"}]}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		c, err := s.parseChat(body)
-		if err == nil && (c.ask.Model == "" || c.ask.MaxTokens < 1 || c.ask.MaxTokens > s.limits.MaxTokens) {
-			t.Fatalf("accepted %+v", c.ask)
+		if err == nil && (c.req.Model == "" || c.req.MaxTokens < 1 || c.req.MaxTokens > s.limits.MaxTokens) {
+			t.Fatalf("accepted an invalid request: %+v", c.req)
 		}
 	})
 }
@@ -226,7 +227,7 @@
 	f.Add([]byte(`{"model":"m","prompt":"x","stream":true}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		c, err := s.parseCompletion(body)
-		if err == nil && c.ask.Prompt == "" {
+		if err == nil && c.req.Prompt == "" {
 			t.Fatal("accepted an empty prompt")
 		}
 	})
--- a/caller/failure.go
+++ b/caller/failure.go
@@ -13,7 +13,7 @@
 	"github.com/mastwheel/mastwheel/request"
 )
 
-// failure is an answer other than the one asked for.
+// failure is an error answer to a caller.
 type failure struct {
 	status     int
 	requestID  string
@@ -23,8 +23,8 @@
 	retryAfter time.Duration
 }
 
-// openAIError is the error shape of the OpenAI interface (source: its API
-// reference), with the request's id and outcome added.
+// openAIError is the error format of the OpenAI API reference, with the
+// request's ID and outcome added.
 type openAIError struct {
 	Error openAIErrorBody `json:"error"`
 }
@@ -52,11 +52,13 @@
 const (
 	contentJSON    = "application/json"
 	contentProblem = "application/problem+json"
-	// problemBase begins the type of each problem; the reason follows.
+	// problemBase is the prefix of each problem type. The reason follows it.
 	problemBase = "urn:mastwheel:reason:"
 )
 
-// statuses gives the status of each reason that ends a request unanswered.
+// statuses maps a reason that ends a request without an answer to its HTTP
+// status. Reasons that are not listed get 503, or 502 if the outcome is
+// unknown.
 var statuses = map[reason.Reason]int{
 	reason.Malformed:        fasthttp.StatusBadRequest,
 	reason.TooLarge:         fasthttp.StatusRequestEntityTooLarge,
@@ -72,7 +74,8 @@
 	reason.AlreadyAnswered:  fasthttp.StatusConflict,
 }
 
-// minRetryAfter goes with every 429 and 503 that names no time of its own.
+// minRetryAfter is the shortest Retry-After of a 429 or 503 answer. It applies
+// when the failure sets no time of its own.
 const minRetryAfter = time.Second
 
 func resultFailure(result request.Result) failure {
@@ -98,8 +101,8 @@
 	return string(why)
 }
 
-// refuse writes a failure in the shape that the path's clients expect.
-func (s *Server) refuse(ctx *fasthttp.RequestCtx, f failure) {
+// writeFailure writes a failure in the format that clients of the path expect.
+func (s *Server) writeFailure(ctx *fasthttp.RequestCtx, f failure) {
 	if f.outcome == "" {
 		f.outcome = reason.NotRun
 	}
--- a/caller/openai.go
+++ b/caller/openai.go
@@ -11,7 +11,7 @@
 	"github.com/mastwheel/mastwheel/request"
 )
 
-// chatRequest is the part of a chat completion request that matters here.
+// chatRequest holds the supported fields of a chat completion request.
 type chatRequest struct {
 	Model               string        `json:"model"`
 	Messages            []chatMessage `json:"messages"`
@@ -27,7 +27,7 @@
 	Content chatContent `json:"content"`
 }
 
-// chatContent is text, given whole or in parts.
+// chatContent is text, given as one string or as a list of parts.
 type chatContent string
 
 type chatPart struct {
@@ -35,7 +35,7 @@
 	Text string `json:"text"`
 }
 
-// UnmarshalJSON reads a string, null, or a list of text parts.
+// UnmarshalJSON decodes a string, null, or a list of text parts.
 func (c *chatContent) UnmarshalJSON(data []byte) error {
 	var text *string
 	if json.Unmarshal(data, &text) == nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// completionRequest is the part of a completion request that matters here.
+// completionRequest holds the supported fields of a completion request.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -69,10 +69,10 @@
 	User      string `json:"user"`
 }
 
-// completion is what both kinds of request come down to.
+// completion is a parsed request of either kind.
 type completion struct {
-	shape  shape
-	ask    request.Model
+	format answerFormat
+	req    request.Model
 	stream bool
 }
 
@@ -109,8 +109,8 @@
 		prompt.WriteString(string(message.Content))
 		prompt.WriteByte('\n')
 	}
-	ask := request.Model{Model: in.Model, Prompt: prompt.String(), MaxTokens: maxTokens, Team: in.User}
-	return completion{shape: chatShape, ask: ask, stream: in.Stream}, nil
+	req := request.Model{Model: in.Model, Prompt: prompt.String(), MaxTokens: maxTokens, Team: in.User}
+	return completion{format: chatFormat, req: req, stream: in.Stream}, nil
 }
 
 func (s *Server) parseCompletion(body []byte) (completion, error) {
@@ -125,8 +125,8 @@
 	if err != nil {
 		return completion{}, err
 	}
-	ask := request.Model{Model: in.Model, Prompt: in.Prompt, MaxTokens: maxTokens, Team: in.User}
-	return completion{shape: textShape, ask: ask, stream: in.Stream}, nil
+	req := request.Model{Model: in.Model, Prompt: in.Prompt, MaxTokens: maxTokens, Team: in.User}
+	return completion{format: textFormat, req: req, stream: in.Stream}, nil
 }
 
 func (s *Server) checkCommon(model string, limit, n *int) (maxTokens int, err error) {
@@ -145,7 +145,7 @@
 	return *limit, nil
 }
 
-// complete runs a parsed request.
+// complete runs a parsed request, or answers with parseErr.
 func (s *Server) complete(ctx *fasthttp.RequestCtx, c completion, parseErr error) {
 	id, keyErr := operationID(ctx)
 	if parseErr == nil {
@@ -153,13 +153,13 @@
 	}
 	if parseErr != nil {
 		s.instance.Metrics.Ended("", reason.NotRun, reason.Malformed)
-		s.refuse(ctx, failure{status: fasthttp.StatusBadRequest, why: reason.Malformed, detail: parseErr.Error()})
+		s.writeFailure(ctx, failure{status: fasthttp.StatusBadRequest, why: reason.Malformed, detail: parseErr.Error()})
 		return
 	}
-	c.ask.Operation = id
-	c.ask.ID = s.instance.NewRequestID()
+	c.req.Operation = id
+	c.req.ID = s.instance.NewRequestID()
 	if team := ctx.Request.Header.Peek(HeaderTeam); len(team) > 0 {
-		c.ask.Team = string(team)
+		c.req.Team = string(team)
 	}
 	if c.stream {
 		s.completeStream(ctx, c)
--- a/caller/server.go
+++ b/caller/server.go
@@ -1,6 +1,6 @@
-// Package caller is the HTTP interface towards callers: which address to use,
-// completions in the shape that OpenAI clients send, calls to plain services,
-// and the outcome of an operation.
+// Package caller is the HTTP interface to callers. It returns the address to
+// use, runs OpenAI-compatible completions and calls to plain services, and
+// reports the outcome of an operation.
 package caller
 
 import (
@@ -38,21 +38,23 @@
 	PathServices    = "/services/"
 )
 
-// Limits bounds what callers can make an instance spend.
+// Limits bounds the resources of an instance that callers can use.
 type Limits struct {
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes bounds the body of a request.
 	MaxBodyBytes int
 	// ReadTimeout bounds the time in which a whole request must arrive.
 	ReadTimeout time.Duration
-	// IdleTimeout closes a connection with no request.
+	// IdleTimeout is the time without a request after which a connection is
+	// closed.
 	IdleTimeout time.Duration
-	// MaxConnections bounds the connections open at once.
+	// MaxConnections bounds the number of open connections.
 	MaxConnections int
-	// MaxTokens bounds the answer that a request may ask for.
+	// MaxTokens bounds the max_tokens of a request.
 	MaxTokens int
 }
 
-// DefaultLimits suits prompts of up to some tens of thousands of tokens.
+// DefaultLimits returns limits for prompts of up to some tens of thousands of
+// tokens.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxBodyBytes:   1 << 20,
@@ -64,13 +66,13 @@
 }
 
 const (
-	// maxHeaderBytes bounds a request's header.
+	// maxHeaderBytes bounds the header of a request.
 	maxHeaderBytes = 16 << 10
-	// defaultMaxTokens is the answer's length when a request names none.
+	// defaultMaxTokens is the max_tokens of a request that sets none.
 	defaultMaxTokens = 128
 )
 
-// Server answers callers for one instance.
+// Server serves callers for one instance.
 type Server struct {
 	instance *instance.Instance
 	limits   Limits
@@ -78,18 +80,20 @@
 }
 
 // NewServer returns a server for the instance.
-func NewServer(of *instance.Instance, limits Limits) *Server {
-	s := &Server{instance: of, limits: limits}
+func NewServer(inst *instance.Instance, limits Limits) *Server {
+	s := &Server{instance: inst, limits: limits}
 	s.http = &fasthttp.Server{
 		Handler:            s.handle,
-		ErrorHandler:       s.badInput,
+		ErrorHandler:       s.handleReadError,
 		Name:               "mastwheel",
 		ReadTimeout:        limits.ReadTimeout,
 		IdleTimeout:        limits.IdleTimeout,
 		MaxRequestBodySize: limits.MaxBodyBytes,
 		ReadBufferSize:     maxHeaderBytes,
 		Concurrency:        limits.MaxConnections,
-		// A closed connection during shutdown would cut off an answer.
+		// Closing connections right away at shutdown would cut off answers.
+		// With CloseOnShutdown an answer in flight carries "Connection: close"
+		// instead.
 		CloseOnShutdown:              true,
 		DisablePreParseMultipartForm: true,
 		Logger:                       logging.Silent{},
@@ -97,7 +101,7 @@
 	return s
 }
 
-// Serve answers callers on listener until Shutdown.
+// Serve serves callers on listener until Shutdown.
 func (s *Server) Serve(listener net.Listener) error {
 	return errors.Wrap(s.http.Serve(connwatch.Listener{Listener: listener}), "serve callers")
 }
@@ -111,34 +115,34 @@
 	path := string(ctx.Path())
 	switch {
 	case path == PathEntry:
-		s.only(ctx, fasthttp.MethodGet, s.entry)
+		s.requireMethod(ctx, fasthttp.MethodGet, s.entry)
 	case path == PathChat:
-		s.only(ctx, fasthttp.MethodPost, s.chat)
+		s.requireMethod(ctx, fasthttp.MethodPost, s.chat)
 	case path == PathCompletions:
-		s.only(ctx, fasthttp.MethodPost, s.completions)
+		s.requireMethod(ctx, fasthttp.MethodPost, s.completions)
 	case path == PathModels:
-		s.only(ctx, fasthttp.MethodGet, s.models)
+		s.requireMethod(ctx, fasthttp.MethodGet, s.models)
 	case strings.HasPrefix(path, PathOperations):
-		s.only(ctx, fasthttp.MethodGet, s.operation)
+		s.requireMethod(ctx, fasthttp.MethodGet, s.operation)
 	case strings.HasPrefix(path, PathServices):
 		s.plain(ctx)
 	default:
-		s.refuse(ctx, failure{status: fasthttp.StatusNotFound, why: reason.UnknownService, detail: "no such path"})
+		s.writeFailure(ctx, failure{status: fasthttp.StatusNotFound, why: reason.UnknownService, detail: "no such path"})
 	}
 }
 
-func (s *Server) only(ctx *fasthttp.RequestCtx, method string, handler fasthttp.RequestHandler) {
+func (s *Server) requireMethod(ctx *fasthttp.RequestCtx, method string, handler fasthttp.RequestHandler) {
 	if string(ctx.Method()) != method {
 		ctx.Response.Header.Set("Allow", method)
 		detail := "use " + method
-		s.refuse(ctx, failure{status: fasthttp.StatusMethodNotAllowed, why: reason.Malformed, detail: detail})
+		s.writeFailure(ctx, failure{status: fasthttp.StatusMethodNotAllowed, why: reason.Malformed, detail: detail})
 		return
 	}
 	handler(ctx)
 }
 
-// badInput answers input that never became a request.
-func (s *Server) badInput(ctx *fasthttp.RequestCtx, err error) {
+// handleReadError answers input that could not be read as a request.
+func (s *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	f := failure{status: fasthttp.StatusBadRequest, why: reason.Malformed, detail: "the request cannot be read"}
 	var tooSmall *fasthttp.ErrSmallBuffer
 	var netErr net.Error
@@ -152,25 +156,25 @@
 	}
 	s.instance.Metrics.Ended("", reason.NotRun, f.why)
 	connwatch.AnswerUnread(ctx.Conn())
-	s.refuse(ctx, f)
+	s.writeFailure(ctx, f)
 }
 
 func (s *Server) entry(ctx *fasthttp.RequestCtx) {
 	arguments := ctx.QueryArgs()
 	entry, ok := s.instance.Entry(string(arguments.Peek("zone")), string(arguments.Peek("avoid")))
 	if !ok {
-		s.refuse(ctx, failure{status: fasthttp.StatusServiceUnavailable, why: reason.StaleTable, detail: "no instance is ready"})
+		s.writeFailure(ctx, failure{status: fasthttp.StatusServiceUnavailable, why: reason.StaleTable, detail: "no instance is ready"})
 		return
 	}
 	writeJSON(ctx, fasthttp.StatusOK, entry)
 }
 
-// operation answers a caller that asks what became of an operation.
+// operation reports the status of an operation.
 func (s *Server) operation(ctx *fasthttp.RequestCtx) {
 	text := strings.TrimPrefix(string(ctx.Path()), PathOperations)
 	id, err := operation.ParseID(text)
 	if err != nil {
-		s.refuse(ctx, failure{status: fasthttp.StatusBadRequest, why: reason.Malformed, detail: err.Error()})
+		s.writeFailure(ctx, failure{status: fasthttp.StatusBadRequest, why: reason.Malformed, detail: err.Error()})
 		return
 	}
 	status := s.instance.AskOperation(ctx, id)
@@ -178,13 +182,13 @@
 	writeJSON(ctx, fasthttp.StatusOK, status)
 }
 
-// watch returns a context that ends when the caller goes away. release must
-// be called before the connection is read again.
-func watch(ctx *fasthttp.RequestCtx) (watched context.Context, release func()) {
+// callerContext returns a context that ends when the caller disconnects.
+// release must be called before the connection is read again.
+func callerContext(ctx *fasthttp.RequestCtx) (callerCtx context.Context, release func()) {
 	return connwatch.Context(ctx.Conn())
 }
 
-// operationID reads the Idempotency-Key of a request. Its text is empty when
+// operationID parses the Idempotency-Key of a request. It returns nil when
 // there is none.
 func operationID(ctx *fasthttp.RequestCtx) (*operation.ID, error) {
 	key := ctx.Request.Header.Peek(HeaderIdempotency)
--- a/caller/shape.go
+++ b/caller/shape.go
@@ -5,19 +5,20 @@
 	"github.com/mastwheel/mastwheel/request"
 )
 
-// shape is one of the two forms of answers.
-type shape struct {
+// answerFormat is one of the two formats of completion answers. whole and chunk
+// are the values of their "object" field.
+type answerFormat struct {
 	whole string
 	chunk string
 	chat  bool
 }
 
 var (
-	chatShape = shape{whole: "chat.completion", chunk: "chat.completion.chunk", chat: true}
-	textShape = shape{whole: "text_completion", chunk: "text_completion"}
+	chatFormat = answerFormat{whole: "chat.completion", chunk: "chat.completion.chunk", chat: true}
+	textFormat = answerFormat{whole: "text_completion", chunk: "text_completion"}
 )
 
-// answerBody is a completion, whole or one chunk of a stream.
+// answerBody is a completion answer or one chunk of a stream.
 type answerBody struct {
 	ID      string         `json:"id"`
 	Object  string         `json:"object"`
@@ -25,7 +26,7 @@
 	Model   string         `json:"model"`
 	Choices []answerChoice `json:"choices"`
 	Usage   *answerUsage   `json:"usage,omitempty"`
-	// Outcome is set on a whole answer and on the last chunk.
+	// Outcome is set in a whole answer and in the last chunk.
 	Outcome reason.Outcome `json:"outcome,omitempty"`
 }
 
@@ -50,13 +51,13 @@
 
 const roleAssistant = "assistant"
 
-// finishLength is the finish reason of answers, which always run to the
-// length that was asked for.
+// finishLength is the finish reason of every answer, since answers always run
+// to the requested length.
 var finishLength = "length"
 
-func (s shape) wholeChoice(text string) answerChoice {
+func (f answerFormat) wholeChoice(text string) answerChoice {
 	choice := answerChoice{FinishReason: &finishLength}
-	if s.chat {
+	if f.chat {
 		choice.Message = &answerMessage{Role: roleAssistant, Content: text}
 		return choice
 	}
@@ -64,12 +65,12 @@
 	return choice
 }
 
-func (s shape) chunkChoice(text string, first, last bool) answerChoice {
+func (f answerFormat) chunkChoice(text string, first, last bool) answerChoice {
 	choice := answerChoice{}
 	if last {
 		choice.FinishReason = &finishLength
 	}
-	if !s.chat {
+	if !f.chat {
 		choice.Text = &text
 		return choice
 	}
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -15,10 +15,10 @@
 	"github.com/mastwheel/mastwheel/request"
 )
 
-// errGone means that the caller's connection is closed.
-var errGone = errors.New("caller has gone")
+// errCallerGone means that the connection of the caller is closed.
+var errCallerGone = errors.New("caller disconnected")
 
-// textSink gathers a whole answer.
+// textSink collects a whole answer.
 type textSink struct {
 	ctx  context.Context
 	text strings.Builder
@@ -27,7 +27,7 @@
 // Token implements request.Sink.
 func (t *textSink) Token(token engine.Token) error {
 	if t.ctx.Err() != nil {
-		return errGone
+		return errCallerGone
 	}
 	t.text.WriteString(token.Text)
 	return nil
@@ -36,52 +36,53 @@
 func (s *Server) completeWhole(ctx *fasthttp.RequestCtx, c completion) {
 	leave := s.instance.Enter()
 	defer leave()
-	watched, release := watch(ctx)
+	callerCtx, release := callerContext(ctx)
 	defer release()
-	sink := &textSink{ctx: watched}
-	result := s.instance.Runner.RunModel(watched, c.ask, sink)
+	sink := &textSink{ctx: callerCtx}
+	result := s.instance.Runner.RunModel(callerCtx, c.req, sink)
 	if result.Outcome != reason.Done {
-		s.refuse(ctx, resultFailure(result))
+		s.writeFailure(ctx, resultFailure(result))
 		return
 	}
 	ctx.Response.Header.Set(HeaderRequestID, result.RequestID)
 	ctx.Response.Header.Set(HeaderOutcome, string(result.Outcome))
 	writeJSON(ctx, fasthttp.StatusOK, answerBody{
-		ID: result.RequestID, Object: c.shape.whole, Created: time.Now().Unix(), Model: c.ask.Model,
-		Choices: []answerChoice{c.shape.wholeChoice(sink.text.String())},
+		ID: result.RequestID, Object: c.format.whole, Created: time.Now().Unix(), Model: c.req.Model,
+		Choices: []answerChoice{c.format.wholeChoice(sink.text.String())},
 		Usage:   usageOf(result), Outcome: result.Outcome,
 	})
 }
 
-// streamSink writes each token as a server-sent event. The HTTP status must
-// be known before the first byte, so the first token waits until the handler
-// has begun the stream and handed over the writer.
+// streamSink writes each token as a server-sent event. The HTTP status must be
+// known before the first byte is written. The first token therefore waits until
+// the handler has started the stream and passed the writer.
 type streamSink struct {
 	ctx     context.Context
 	body    answerBody
-	shape   shape
+	format  answerFormat
 	started chan struct{}
 	writer  chan *bufio.Writer
 	out     *bufio.Writer
-	// last is held back, to carry the outcome.
+	// last is the last token. It is withheld until the outcome is known, since
+	// its chunk carries the outcome.
 	last *engine.Token
 }
 
 // Token implements request.Sink.
 func (t *streamSink) Token(token engine.Token) error {
-	if t.out == nil && !t.begin() {
-		return errGone
+	if t.out == nil && !t.start() {
+		return errCallerGone
 	}
 	if token.Last {
 		t.last = &token
 		return nil
 	}
-	t.body.Choices = []answerChoice{t.shape.chunkChoice(token.Text, token.Position == 0, false)}
-	return t.event(&t.body)
+	t.body.Choices = []answerChoice{t.format.chunkChoice(token.Text, token.Position == 0, false)}
+	return t.writeEvent(&t.body)
 }
 
-// begin tells the handler to start the stream, and waits for the writer.
-func (t *streamSink) begin() bool {
+// start signals the handler to start the stream and waits for the writer.
+func (t *streamSink) start() bool {
 	close(t.started)
 	select {
 	case t.out = <-t.writer:
@@ -91,31 +92,31 @@
 	}
 }
 
-func (t *streamSink) event(value any) error {
+func (t *streamSink) writeEvent(value any) error {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		return errors.Wrap(err, "encode event")
+		return errors.Wrap(err, "encode stream event")
 	}
 	t.out.WriteString("data: ")
 	t.out.Write(encoded)
 	t.out.WriteString("\n\n")
 	if err := t.out.Flush(); err != nil {
-		return errGone
+		return errCallerGone
 	}
 	return nil
 }
 
-// end writes the last token with the outcome, or the error that ended the
+// finish writes the last token with the outcome, or the error that ended the
 // stream early.
-func (t *streamSink) end(result request.Result) {
+func (t *streamSink) finish(result request.Result) {
 	if result.Outcome != reason.Done || t.last == nil {
-		t.event(resultFailure(result).openAI())
+		t.writeEvent(resultFailure(result).openAI())
 		return
 	}
-	t.body.Choices = []answerChoice{t.shape.chunkChoice(t.last.Text, t.last.Position == 0, true)}
+	t.body.Choices = []answerChoice{t.format.chunkChoice(t.last.Text, t.last.Position == 0, true)}
 	t.body.Outcome = result.Outcome
 	t.body.Usage = usageOf(result)
-	if t.event(&t.body) == nil {
+	if t.writeEvent(&t.body) == nil {
 		t.out.WriteString("data: [DONE]\n\n")
 		t.out.Flush()
 	}
@@ -123,27 +124,27 @@
 
 func (s *Server) completeStream(ctx *fasthttp.RequestCtx, c completion) {
 	leave := s.instance.Enter()
-	watched, release := watch(ctx)
+	callerCtx, release := callerContext(ctx)
 	sink := &streamSink{
-		ctx:   watched,
-		shape: c.shape,
+		ctx:    callerCtx,
+		format: c.format,
 		body: answerBody{
-			ID: c.ask.ID, Object: c.shape.chunk, Created: time.Now().Unix(), Model: c.ask.Model,
+			ID: c.req.ID, Object: c.format.chunk, Created: time.Now().Unix(), Model: c.req.Model,
 		},
 		started: make(chan struct{}),
 		writer:  make(chan *bufio.Writer),
 	}
 	finished := make(chan request.Result, 1)
-	go func() { finished <- s.instance.Runner.RunModel(watched, c.ask, sink) }()
+	go func() { finished <- s.instance.Runner.RunModel(callerCtx, c.req, sink) }()
 	select {
 	case result := <-finished:
 		release()
 		leave()
-		s.refuse(ctx, resultFailure(result))
+		s.writeFailure(ctx, resultFailure(result))
 		return
 	case <-sink.started:
 	}
-	ctx.Response.Header.Set(HeaderRequestID, c.ask.ID)
+	ctx.Response.Header.Set(HeaderRequestID, c.req.ID)
 	ctx.Response.Header.Set("Cache-Control", "no-store")
 	ctx.SetContentType("text/event-stream")
 	ctx.SetBodyStreamWriter(func(out *bufio.Writer) {
@@ -153,11 +154,11 @@
 	})
 }
 
-// run hands the writer to the request and waits for its end.
+// run passes the writer to the request and waits until the request ends.
 func (t *streamSink) run(out *bufio.Writer, finished <-chan request.Result) {
 	select {
 	case t.writer <- out:
-		t.end(<-finished)
+		t.finish(<-finished)
 	case <-finished:
 	}
 }
