--- a/service/service.go
+++ b/service/service.go
@@ -1,5 +1,5 @@
-// Package service talks to plain backend servers, which answer one HTTP call
-// at a time and some of whose calls may not be repeated.
+// Package service sends calls to plain backend servers. A plain backend server
+// answers one HTTP call at a time, and some of its calls must not be repeated.
 package service
 
 import (
@@ -11,21 +11,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// HeaderOutcome carries an outcome. A backend server that did not run a call
-// says so with status 503 and the value "not_run".
+// HeaderOutcome is the header field that carries an outcome. A backend server
+// that did not run a call answers with status 503 and the value "not_run".
 const HeaderOutcome = "Mastwheel-Outcome"
 
-// outcomeNotRun is the header's value for a call that was not run.
+// outcomeNotRun is the value of HeaderOutcome for a call that was not run.
 const outcomeNotRun = "not_run"
 
 // Errors of a call. Compare with errors.Is.
 var (
 	// ErrUnreachable means that no byte of the call was sent.
 	ErrUnreachable = errors.New("backend server unreachable")
-	// ErrNotRun means that the server said that it did not run the call.
+	// ErrNotRun means that the server reported that it did not run the call.
 	ErrNotRun = errors.New("backend server did not run the call")
-	// ErrLost means that the call was sent and no whole answer came back.
-	ErrLost = errors.New("answer of the backend server lost")
+	// ErrLost means that the call was sent and no complete answer was received.
+	ErrLost = errors.New("backend server answer lost")
 )
 
 // Header is one HTTP header field.
@@ -42,38 +42,39 @@
 	Body    []byte
 }
 
-// Answer is a whole HTTP answer.
+// Answer is a complete HTTP answer.
 type Answer struct {
 	Status  int
 	Headers []Header
 	Body    []byte
 }
 
-// Client sends calls to plain backend servers by address, "ip:port".
+// Client sends calls to plain backend servers by their address, "ip:port".
 type Client interface {
 	Do(ctx context.Context, address string, call Call) (Answer, error)
 }
 
 const (
-	// dialTimeout bounds a connection set-up inside one region.
+	// dialTimeout bounds the connection setup within one region.
 	dialTimeout = 500 * time.Millisecond
 	// defaultTimeout bounds a call whose context has no deadline.
 	defaultTimeout = 30 * time.Second
-	// maxAnswer bounds an answer's body, in bytes.
-	maxAnswer = 8 << 20
+	// maxAnswerBytes bounds the body of an answer.
+	maxAnswerBytes = 8 << 20
 )
 
-// HTTP is the Client over HTTP.
+// HTTP implements Client over HTTP.
 type HTTP struct{ client *fasthttp.Client }
 
-// errDial marks a failed dial, to tell it from a failure after sending.
+// errDial marks a failed dial, to distinguish it from a failure after bytes
+// were sent.
 type errDial struct{ cause error }
 
 func (e *errDial) Error() string { return e.cause.Error() }
 
-// NewHTTP returns a Client over HTTP. It never repeats a call by itself, and
-// opens a connection per call: on a kept connection that the server is just
-// closing, it could not tell whether the call was read.
+// NewHTTP returns a Client over HTTP. It never retries a call by itself and
+// opens one connection per call. On a kept-alive connection that the server is
+// closing, it could not determine whether the server had read the call.
 func NewHTTP() *HTTP {
 	dial := func(address string) (net.Conn, error) {
 		conn, err := fasthttp.DialTimeout(address, dialTimeout)
@@ -86,7 +87,7 @@
 		Dial:                      dial,
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-		MaxResponseBodySize:       maxAnswer,
+		MaxResponseBodySize:       maxAnswerBytes,
 		NoDefaultUserAgentHeader:  true,
 	}}
 }
@@ -115,7 +116,7 @@
 		string(response.Header.Peek(HeaderOutcome)) == outcomeNotRun {
 		return Answer{}, ErrNotRun
 	}
-	return copyAnswer(response), nil
+	return newAnswer(response), nil
 }
 
 func callError(err error) error {
@@ -126,7 +127,7 @@
 	return errors.Wrap(ErrLost, err.Error())
 }
 
-func copyAnswer(response *fasthttp.Response) Answer {
+func newAnswer(response *fasthttp.Response) Answer {
 	answer := Answer{Status: response.StatusCode()}
 	answer.Body = append(answer.Body, response.Body()...)
 	for name, value := range response.Header.All() {
