--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,6 @@
-// Package client is the caller's side: it asks which address to use, keeps
-// the answer for its stated time, connects there and reads the answer. The
-// operators' program and the load tool use it.
+// Package client is a client for callers. It requests the address to use, keeps
+// that answer for as long as the answer says, connects to the address and reads
+// the answers to requests. The operator CLI and the load generator use it.
 package client
 
 import (
@@ -27,25 +27,26 @@
 // ErrNoInstance means that none of the known addresses answered.
 var ErrNoInstance = errors.New("no instance answered")
 
-// maxAnswer bounds what is read of one whole answer, in bytes.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds the size of one answer.
+const maxAnswerBytes = 16 << 20
 
-// Client is one caller. Safe for concurrent use.
+// Client is one caller. It is safe for concurrent use.
 type Client struct {
-	// Addresses returns instances to ask which address to use.
+	// Addresses returns the instances that can be queried for the address to
+	// use.
 	Addresses func() []string
-	// Zone is the caller's availability zone; may be empty.
+	// Zone is the caller's availability zone. It may be empty.
 	Zone string
 	http *http.Client
 
-	mu    sync.Mutex
-	entry instance.Entry
-	until time.Time
-	// avoid names the instance that could not be reached last.
+	mu           sync.Mutex
+	entry        instance.Entry
+	entryExpires time.Time
+	// avoid names the instance that most recently could not be reached.
 	avoid string
 }
 
-// New returns a caller that knows some instances' addresses.
+// New returns a caller that knows the addresses of some instances.
 func New(addresses []string, zone string) *Client {
 	return NewWith(func() []string { return addresses }, zone)
 }
@@ -56,41 +57,43 @@
 	return &Client{Addresses: addresses, Zone: zone, http: &http.Client{Transport: transport}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Entry returns the address to use: the kept answer, or a new one.
+// Entry returns the address to use. It queries an instance when the cached
+// answer has expired.
 func (c *Client) Entry(ctx context.Context) (instance.Entry, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.until) {
+	if time.Now().Before(c.entryExpires) {
 		return c.entry, nil
 	}
 	addresses := c.Addresses()
 	for _, n := range rand.Perm(len(addresses)) {
-		entry, err := c.ask(ctx, addresses[n])
+		entry, err := c.fetchEntry(ctx, addresses[n])
 		if err != nil {
 			continue
 		}
 		c.entry = entry
-		c.until = time.Now().Add(time.Duration(entry.KeepSeconds) * time.Second)
+		c.entryExpires = time.Now().Add(time.Duration(entry.KeepSeconds) * time.Second)
 		return entry, nil
 	}
 	return instance.Entry{}, ErrNoInstance
 }
 
-// forget drops the kept answer after a connection to it failed.
-func (c *Client) forget() {
+// forgetEntry discards the cached entry after a connection to its address
+// failed.
+func (c *Client) forgetEntry() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = time.Time{}
+	c.entryExpires = time.Time{}
 	c.avoid = c.entry.Instance
 }
 
-const askTimeout = time.Second
+const queryTimeout = time.Second
 
-func (c *Client) ask(ctx context.Context, address string) (instance.Entry, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (c *Client) fetchEntry(ctx context.Context, address string) (instance.Entry, error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var entry instance.Entry
 	err := c.getJSON(ctx, "http://"+address+caller.PathEntry+"?zone="+c.Zone+"&avoid="+c.avoid, &entry)
@@ -104,39 +107,39 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "ask instance")
+		return errors.Wrap(err, "query instance")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("ask instance: status %d", response.StatusCode)
+		return errors.Errorf("query instance: unexpected status %d", response.StatusCode)
 	}
-	return errors.Wrap(json.NewDecoder(io.LimitReader(response.Body, maxAnswer)).Decode(into), "read answer")
+	return errors.Wrap(json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(into), "decode answer")
 }
 
-// Result is what a caller learned of one request.
+// Result is the outcome of one request as the caller knows it.
 type Result struct {
 	RequestID string
 	Outcome   reason.Outcome
 	Reason    reason.Reason
 	Status    int
-	// RetryAfter is when the instance said to come back.
+	// RetryAfter is the time in the Retry-After header.
 	RetryAfter time.Duration
 	Text       string
 	Tokens     int
-	// FirstToken is the time to the first token, Between the mean time between
-	// tokens.
+	// FirstToken is the time to the first token. Between is the mean time
+	// between tokens.
 	FirstToken time.Duration
 	Between    time.Duration
 	Took       time.Duration
 }
 
-// Completion asks a model to go on from a prompt.
+// Completion is a request to a model to continue a prompt.
 type Completion struct {
 	Model     string
 	Prompt    string
 	MaxTokens int
 	Team      string
-	// OnToken, if not nil, sees each token as it arrives.
+	// OnToken, if not nil, is called with each token as it arrives.
 	OnToken func(text string)
 }
 
@@ -147,14 +150,14 @@
 	Stream    bool   `json:"stream"`
 }
 
-// Complete streams a completion. What went wrong is in the result's outcome;
-// a connection that was lost is unknown.
-func (c *Client) Complete(ctx context.Context, ask Completion) Result {
-	body, err := json.Marshal(completionBody{ask.Model, ask.Prompt, ask.MaxTokens, true})
+// Complete streams a completion. Failures are reported in the outcome of the
+// result. The outcome of a lost connection is unknown.
+func (c *Client) Complete(ctx context.Context, req Completion) Result {
+	body, err := json.Marshal(completionBody{req.Model, req.Prompt, req.MaxTokens, true})
 	if err != nil {
 		panic("client: request cannot be encoded: " + err.Error())
 	}
-	headers := map[string]string{"Content-Type": "application/json", caller.HeaderTeam: ask.Team}
+	headers := map[string]string{"Content-Type": "application/json", caller.HeaderTeam: req.Team}
 	started := time.Now()
 	var response *http.Response
 	for range maxDials {
@@ -166,23 +169,23 @@
 		if err == nil || !isDialError(err) {
 			break
 		}
-		c.forget()
+		c.forgetEntry()
 	}
 	if err != nil {
-		return c.lost(ctx, err)
+		return c.lostResult(ctx, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return refusal(response)
+		return errorResult(response)
 	}
-	return readStream(ctx, response, started, ask.OnToken)
+	return readStream(ctx, response, started, req.OnToken)
 }
 
-// maxDials is how many addresses are tried before a request counts as not
-// run. Only a connection that was never made is followed by another.
+// maxDials is how many addresses are tried before a request counts as not run.
+// Another address is tried only when no connection was made.
 const maxDials = 3
 
-// isDialError says whether no connection was made, so that no byte was sent.
+// isDialError reports whether no connection was made, so that no byte was sent.
 func isDialError(err error) bool {
 	var opErr *net.OpError
 	return errors.As(err, &opErr) && opErr.Op == "dial"
@@ -193,8 +196,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
 	}
-	// The standard client would repeat a request by itself if it could read
-	// the body again.
+	// With GetBody set, net/http could resend the request by itself.
 	request.GetBody = nil
 	for name, value := range headers {
 		if value != "" {
@@ -204,8 +206,8 @@
 	return c.http.Do(request)
 }
 
-func (c *Client) lost(ctx context.Context, err error) Result {
-	c.forget()
+func (c *Client) lostResult(ctx context.Context, err error) Result {
+	c.forgetEntry()
 	if isDialError(err) {
 		return Result{Outcome: reason.NotRun, Reason: reason.ConnectFailed, Text: err.Error()}
 	}
@@ -216,10 +218,10 @@
 	return Result{Outcome: reason.Unknown, Reason: why, Text: err.Error()}
 }
 
-// refusal reads an answer other than 200.
-func refusal(response *http.Response) Result {
+// errorResult returns the result of an answer other than 200.
+func errorResult(response *http.Response) Result {
 	result := headerResult(response)
-	io.Copy(io.Discard, io.LimitReader(response.Body, maxAnswer))
+	io.Copy(io.Discard, io.LimitReader(response.Body, maxAnswerBytes))
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
 		result.RetryAfter = time.Duration(seconds) * time.Second
 	}
@@ -235,7 +237,7 @@
 	}
 }
 
-// streamEvent is the part of an event that matters to the caller.
+// streamEvent holds the fields of a stream event that the client reads.
 type streamEvent struct {
 	Choices []struct {
 		Text string `json:"text"`
@@ -308,20 +310,20 @@
 	Path    string
 	Body    []byte
 	Team    string
-	// Once makes the call carry an operation id, so that its outcome can be
-	// asked for when the instance is lost.
+	// Once makes the call carry an operation ID, so that its outcome can be
+	// queried when the instance fails.
 	Once bool
 }
 
-// CallResult is what a caller learned of one plain call.
+// CallResult is the outcome of one plain call as the caller knows it.
 type CallResult struct {
 	Result
-	// Operation is the id that the call carried; empty with none.
+	// Operation is the operation ID of the call, or empty if it had none.
 	Operation string
 }
 
-// Do sends a plain call. When the answer of a call with an operation id is
-// lost, it asks the witness for the outcome.
+// Do sends a plain call. When the answer to a call with an operation ID is
+// lost, it queries the witness for the outcome.
 func (c *Client) Do(ctx context.Context, call Call) CallResult {
 	var result CallResult
 	for range maxDials {
@@ -329,12 +331,12 @@
 		if result, dialled = c.doOnce(ctx, call); dialled {
 			break
 		}
-		c.forget()
+		c.forgetEntry()
 	}
 	return result
 }
 
-// doOnce sends a plain call to the address in use. dialled is false when no
+// doOnce sends a plain call to the current address. dialled is false when no
 // connection was made.
 func (c *Client) doOnce(ctx context.Context, call Call) (result CallResult, dialled bool) {
 	entry, err := c.Entry(ctx)
@@ -349,34 +351,34 @@
 	started := time.Now()
 	response, err := c.post(ctx, call.Method, url, call.Body, headers)
 	if err != nil {
-		result.Result = c.lost(ctx, err)
+		result.Result = c.lostResult(ctx, err)
 		if result.Operation != "" && !isDialError(err) {
-			c.settle(ctx, entry, &result)
+			c.resolveOutcome(ctx, entry, &result)
 		}
 		return result, !isDialError(err)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	result.Result = headerResult(response)
 	result.Text = string(body)
 	result.Took = time.Since(started)
 	if err != nil {
-		result.Result = c.lost(ctx, err)
+		result.Result = c.lostResult(ctx, err)
 	}
 	return result, true
 }
 
 const (
-	// settleTries and settlePause bound how long a caller asks for the outcome
-	// of a call that is still running.
-	settleTries = 20
-	settlePause = 250 * time.Millisecond
+	// maxStatusQueries and statusQueryInterval bound how long a caller queries
+	// the outcome of a call that is still running.
+	maxStatusQueries    = 20
+	statusQueryInterval = 250 * time.Millisecond
 )
 
-// settle asks what became of a call until that is decided.
-func (c *Client) settle(ctx context.Context, entry instance.Entry, result *CallResult) {
-	for range settleTries {
-		status, err := c.askAround(ctx, entry, result.Operation)
+// resolveOutcome queries the status of a call until its outcome is decided.
+func (c *Client) resolveOutcome(ctx context.Context, entry instance.Entry, result *CallResult) {
+	for range maxStatusQueries {
+		status, err := c.queryStatus(ctx, entry, result.Operation)
 		if err != nil {
 			return
 		}
@@ -386,15 +388,16 @@
 			return
 		}
 		select {
-		case <-time.After(settlePause):
+		case <-time.After(statusQueryInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// askAround asks the witness, and then any instance, what became of a call.
-func (c *Client) askAround(ctx context.Context, entry instance.Entry, id string) (operation.Status, error) {
+// queryStatus queries the witness, and then the known instances, for the status
+// of a call.
+func (c *Client) queryStatus(ctx context.Context, entry instance.Entry, id string) (operation.Status, error) {
 	addresses := append([]string{entry.Operation.Witness}, c.Addresses()...)
 	for _, address := range addresses {
 		if status, err := c.AskOperation(ctx, address, id); err == nil {
@@ -404,16 +407,16 @@
 	return operation.Status{}, ErrNoInstance
 }
 
-// AskOperation asks an instance what became of an operation.
+// AskOperation queries an instance for the status of an operation.
 func (c *Client) AskOperation(ctx context.Context, address, id string) (operation.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var status operation.Status
 	err := c.getJSON(ctx, "http://"+address+caller.PathOperations+id, &status)
 	return status, err
 }
 
-// newNonce makes the caller's part of an operation id.
+// newNonce returns the caller's part of an operation ID.
 func newNonce() string {
 	return strconv.FormatUint(rand.Uint64(), 36) + strconv.FormatUint(rand.Uint64(), 36)
 }
