--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain reads the log lines of instances and tells the story of one
-// request: what was decided for it, by what, and how it ended.
+// Package explain finds requests in the log lines of instances. For one request
+// it lists the decisions with their causes and the outcome. It also searches
+// and counts the requests that ended.
 package explain
 
 import (
@@ -15,29 +16,29 @@
 
 // Line is one log line about a request.
 type Line struct {
-	// Step is empty on the line that says how the request ended.
+	// Step is empty in the line about the end of the request.
 	Step    string
 	Outcome string
 	// AtMillis is the time since the request arrived.
 	AtMillis float64
-	// Fields are the line's other fields, in the order of their names.
+	// Fields are the other fields of the line, sorted by name.
 	Fields []Field
 }
 
 // Field is one field of a line.
 type Field struct{ Name, Value string }
 
-// maxLine bounds a log line.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// Read returns the lines about a request, in the order of their times. Lines
-// that are no JSON, or about something else, are passed over; text before the
-// first brace of a line is too, since collectors put names and times there.
+// Read returns the lines about a request, sorted by time. It skips lines that
+// contain no JSON or are about something else, and text before the first brace
+// of a line, since log collectors put names and times there.
 func Read(log io.Reader, request string) ([]Line, error) {
 	var lines []Line
 	err := scan(log, request, func(fields map[string]any) {
 		if fields["request"] == request {
-			lines = append(lines, lineOf(fields))
+			lines = append(lines, newLine(fields))
 		}
 	})
 	slices.SortStableFunc(lines, func(a, b Line) int {
@@ -53,10 +54,10 @@
 	return lines, err
 }
 
-// scan hands on the fields of each JSON line that contains a text.
-func scan(log io.Reader, containing string, each func(fields map[string]any)) error {
+// scan calls visit with the fields of each JSON line that contains a text.
+func scan(log io.Reader, containing string, visit func(fields map[string]any)) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		brace := strings.IndexByte(text, '{')
@@ -65,21 +66,21 @@
 		}
 		var fields map[string]any
 		if json.Unmarshal([]byte(text[brace:]), &fields) == nil {
-			each(fields)
+			visit(fields)
 		}
 	}
-	return errors.Wrap(scanner.Err(), "read the log")
+	return errors.Wrap(scanner.Err(), "read log")
 }
 
-// told are the fields that the story tells in a place of their own, and those
-// that say nothing of the request.
-var told = map[string]bool{
+// ownColumn lists the fields that Write prints in columns of their own, and
+// those that are not about the request.
+var ownColumn = map[string]bool{
 	"time": true, "level": true, "msg": true, "request": true, "step": true, "outcome": true, "atMillis": true,
 	"tookMillis": true,
 }
 
-func lineOf(fields map[string]any) Line {
-	line := Line{Outcome: text(fields["outcome"])}
+func newLine(fields map[string]any) Line {
+	line := Line{Outcome: formatValue(fields["outcome"])}
 	line.Step, _ = fields["step"].(string)
 	at := fields["atMillis"]
 	if line.Step == "" {
@@ -87,36 +88,36 @@
 	}
 	line.AtMillis, _ = at.(float64)
 	for name, value := range fields {
-		if !told[name] || (name == "tookMillis" && line.Step != "") {
-			line.Fields = append(line.Fields, Field{Name: name, Value: text(value)})
+		if !ownColumn[name] || (name == "tookMillis" && line.Step != "") {
+			line.Fields = append(line.Fields, Field{Name: name, Value: formatValue(value)})
 		}
 	}
 	slices.SortFunc(line.Fields, func(a, b Field) int { return strings.Compare(a.Name, b.Name) })
 	return line
 }
 
-// text writes a field's value.
-func text(value any) string {
-	switch of := value.(type) {
+// formatValue formats the value of a field.
+func formatValue(value any) string {
+	switch v := value.(type) {
 	case string:
-		return of
+		return v
 	case nil:
 		return "none"
 	case float64:
-		return fmt.Sprintf("%g", of)
+		return fmt.Sprintf("%g", v)
 	default:
-		encoded, err := json.Marshal(of)
+		encoded, err := json.Marshal(v)
 		if err != nil {
-			return fmt.Sprint(of)
+			return fmt.Sprint(v)
 		}
 		return string(encoded)
 	}
 }
 
-// Write tells the story.
+// Write prints the lines of a request.
 func Write(out io.Writer, request string, lines []Line) error {
 	if len(lines) == 0 {
-		return errors.Errorf("no line about request %s; served requests are logged one in fifty", request)
+		return errors.Errorf("no log line about request %s: only one in fifty served requests is logged", request)
 	}
 	for _, line := range lines {
 		step := line.Step
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -12,7 +12,7 @@
 this is no line of ours about a1 {
 `
 
-func TestTheStoryOfARequest(t *testing.T) {
+func TestWriteLinesOfRequest(t *testing.T) {
 	lines, err := Read(strings.NewReader(log), "a1")
 	if err != nil {
 		t.Fatal(err)
@@ -35,12 +35,12 @@
 	}
 }
 
-func TestARequestThatTheLogDoesNotHave(t *testing.T) {
+func TestWriteFailsForUnloggedRequest(t *testing.T) {
 	lines, err := Read(strings.NewReader(log), "b7")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if Write(&strings.Builder{}, "b7", lines) == nil {
-		t.Fatal("a story of nothing")
+		t.Fatal("Write returned no error without a line about the request")
 	}
 }
--- a/explain/search.go
+++ b/explain/search.go
@@ -10,7 +10,7 @@
 	"github.com/mastwheel/mastwheel/registry"
 )
 
-// Ended is the log line that says how a request ended.
+// Ended is the log line about the end of a request.
 type Ended struct {
 	Time    string
 	Request string
@@ -21,14 +21,14 @@
 	// Reason is empty for a request that was served.
 	Reason string
 	Detail string
-	// Servers are those that the request was sent to, in order.
+	// Servers are the servers that the request was sent to, in order.
 	Servers []string
-	// Revision is the table's by which it was decided.
+	// Revision is the revision of the table that was used for the request.
 	Revision   string
 	TookMillis float64
 }
 
-// Filter says which requests are looked for; an empty field allows all.
+// Filter selects requests. An empty field matches every request.
 type Filter struct {
 	Reason   string
 	Outcome  string
@@ -38,44 +38,44 @@
 	Revision string
 }
 
-// allows says whether a request is looked for.
-func (f Filter) allows(e Ended) bool {
-	same := func(wanted, got string) bool { return wanted == "" || wanted == got }
-	return same(f.Reason, e.Reason) && same(f.Outcome, e.Outcome) && same(f.Service, e.Service) &&
-		same(f.Route, e.Route) && same(f.Revision, e.Revision) &&
-		(f.Server == "" || slices.ContainsFunc(e.Servers, f.isServer))
+// matches reports whether the filter selects a request.
+func (f Filter) matches(e Ended) bool {
+	matchesField := func(wanted, got string) bool { return wanted == "" || wanted == got }
+	return matchesField(f.Reason, e.Reason) && matchesField(f.Outcome, e.Outcome) && matchesField(f.Service, e.Service) &&
+		matchesField(f.Route, e.Route) && matchesField(f.Revision, e.Revision) &&
+		(f.Server == "" || slices.ContainsFunc(e.Servers, f.matchesServer))
 }
 
-// isServer says whether a name is that of the server looked for, or of one of its
-// runs.
-func (f Filter) isServer(name string) bool {
+// matchesServer reports whether a name is that of the server in the filter or
+// of one run of its process.
+func (f Filter) matchesServer(name string) bool {
 	id, _, _ := strings.Cut(name, registry.RunMark)
 	return name == f.Server || id == f.Server
 }
 
-// messageEnded is the message of the lines that say how a request ended.
+// messageEnded is the message of the log lines about the end of a request.
 const messageEnded = "Request ended"
 
-// Search returns the requests that a filter allows, in the order of the log.
+// Search returns the requests that the filter selects, in the order of the log.
 func Search(log io.Reader, filter Filter) ([]Ended, error) {
 	var found []Ended
 	err := scan(log, messageEnded, func(fields map[string]any) {
 		if fields["msg"] != messageEnded {
 			return
 		}
-		if ended := endedOf(fields); filter.allows(ended) {
+		if ended := newEnded(fields); filter.matches(ended) {
 			found = append(found, ended)
 		}
 	})
 	return found, err
 }
 
-func endedOf(fields map[string]any) Ended {
+func newEnded(fields map[string]any) Ended {
 	field := func(name string) string {
 		if fields[name] == nil {
 			return ""
 		}
-		return text(fields[name])
+		return formatValue(fields[name])
 	}
 	ended := Ended{
 		Time: field("time"), Request: field("request"), Service: field("service"), Route: field("route"),
@@ -85,12 +85,12 @@
 	ended.TookMillis, _ = fields["tookMillis"].(float64)
 	servers, _ := fields["servers"].([]any)
 	for _, server := range servers {
-		ended.Servers = append(ended.Servers, text(server))
+		ended.Servers = append(ended.Servers, formatValue(server))
 	}
 	return ended
 }
 
-// WriteEnded writes a line for each request.
+// WriteEnded prints one line for each request.
 func WriteEnded(out io.Writer, found []Ended) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "TIME\tREQUEST\tSERVICE\tROUTE\tOUTCOME\tSTATUS\tREASON\tMS\tREVISION\tSERVERS\tDETAIL")
@@ -101,7 +101,8 @@
 	return table.Flush()
 }
 
-// WriteCounts writes how many requests ended how, the most frequent first.
+// WriteCounts prints the number of requests for each service, outcome, status
+// and reason. The most frequent come first.
 func WriteCounts(out io.Writer, found []Ended) error {
 	type kind struct{ service, outcome, status, reason string }
 	counts := make(map[kind]int)
@@ -109,8 +110,8 @@
 		counts[kind{e.Service, e.Outcome, e.Status, e.Reason}]++
 	}
 	kinds := make([]kind, 0, len(counts))
-	for one := range counts {
-		kinds = append(kinds, one)
+	for k := range counts {
+		kinds = append(kinds, k)
 	}
 	slices.SortFunc(kinds, func(a, b kind) int {
 		if counts[a] != counts[b] {
@@ -120,8 +121,8 @@
 	})
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "REQUESTS\tSERVICE\tOUTCOME\tSTATUS\tREASON")
-	for _, one := range kinds {
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\n", counts[one], one.service, one.outcome, one.status, one.reason)
+	for _, k := range kinds {
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\n", counts[k], k.service, k.outcome, k.status, k.reason)
 	}
 	return table.Flush()
 }
--- a/explain/search_test.go
+++ b/explain/search_test.go
@@ -14,7 +14,7 @@
 {"msg":"Request ended" broken
 `
 
-func TestRequestsAreFoundByHowTheyEnded(t *testing.T) {
+func TestSearchByFilter(t *testing.T) {
 	for _, one := range []struct {
 		filter Filter
 		want   string
@@ -37,24 +37,24 @@
 			ids = append(ids, e.Request)
 		}
 		if got := strings.Join(ids, " "); got != one.want {
-			t.Errorf("%+v found %q, not %q", one.filter, got, one.want)
+			t.Errorf("%+v: found %q, want %q", one.filter, got, one.want)
 		}
 	}
 }
 
-func TestRequestsAreFoundByAServerOrOneOfItsRuns(t *testing.T) {
+func TestSearchByServerOrRun(t *testing.T) {
 	const log = `{"msg":"Request ended","request":"a1","servers":["s1@k3"]}
 {"msg":"Request ended","request":"b2","servers":["s1@k9","s2"]}
 {"msg":"Request ended","request":"c3","servers":["s11@k3"]}
 `
 	for server, want := range map[string]int{"s1": 2, "s1@k3": 1, "s2": 1, "k3": 0} {
 		if found, err := Search(strings.NewReader(log), Filter{Server: server}); err != nil || len(found) != want {
-			t.Errorf("%s: %d requests, not %d, %v", server, len(found), want, err)
+			t.Errorf("%s: %d requests, want %d (error %v)", server, len(found), want, err)
 		}
 	}
 }
 
-func TestFoundRequestsAreWrittenAndCounted(t *testing.T) {
+func TestWriteEndedAndCounts(t *testing.T) {
 	found, err := Search(strings.NewReader(ended), Filter{Service: "web"})
 	if err != nil {
 		t.Fatal(err)
