--- a/request/runner.go
+++ b/request/runner.go
@@ -44,11 +44,11 @@
 	// broken. It must exceed an ordinary pause of an engine. A longer timeout
 	// delays the resume.
 	TokenTimeout time.Duration
-	// ImportTimeout bounds one transfer when no rate is known yet.
-	// ShortestImport is the lower bound of the timeout when the known rate
-	// predicts a quick transfer. A stalled transfer must leave time for another
-	// decode engine within the window. A timeout below the ordinary jitter of
-	// the links would abort healthy transfers.
+	// ImportTimeout bounds one transfer, and is the timeout when no rate is
+	// known yet. ShortestImport is the lower bound of the timeout when the
+	// known rate predicts a quick transfer. A stalled transfer must leave time
+	// for another decode engine within the window. A timeout below the ordinary
+	// jitter of the links would abort healthy transfers.
 	ImportTimeout  time.Duration
 	ShortestImport time.Duration
 	// PlainTimeout bounds one call to a plain backend server.
@@ -61,7 +61,7 @@
 	// at an engine.
 	CancelEvery time.Duration
 	// CancelFor is how long a cancel is repeated. After that the engine is
-	// considered dead and its memory released.
+	// considered dead, so that it holds no memory any more.
 	CancelFor time.Duration
 	// Protect selects the protections. All are on, except in trials that show
 	// what each one prevents.
