--- a/peer/keys.go
+++ b/peer/keys.go
@@ -17,33 +17,34 @@
 )
 
 const (
-	// TLSName is the DNS name that every instance's certificate must carry.
-	// Addresses are IP numbers that change, so the name says the role.
+	// TLSName is the DNS name that every instance's certificate must contain.
+	// It names the role because the IP addresses of instances change.
 	TLSName = "instance.mastwheel.internal"
-	// alpn names the protocol version between siblings.
+	// alpn identifies the protocol and its version in the TLS handshake.
 	alpn = "mastwheel/1"
 )
 
-// Identity is a certificate with its key, and the authorities to trust.
+// Identity is a certificate with its key and the trusted authorities.
 type Identity struct {
 	Certificate tls.Certificate
 	Authorities *x509.CertPool
 }
 
-// Keys holds the identity in use. Replace swaps it while connections live.
+// Keys holds the identity in use. Replace changes it while connections are
+// open.
 type Keys struct{ current atomic.Pointer[Identity] }
 
-// NewKeys returns keys with a first identity.
+// NewKeys returns Keys with an initial identity.
 func NewKeys(identity *Identity) *Keys {
 	k := &Keys{}
 	k.current.Store(identity)
 	return k
 }
 
-// Replace makes new connections use another identity.
+// Replace sets the identity for new connections.
 func (k *Keys) Replace(identity *Identity) { k.current.Store(identity) }
 
-// LoadIdentity reads PEM files.
+// LoadIdentity reads an identity from PEM files.
 func LoadIdentity(certFile, keyFile, authorityFile string) (*Identity, error) {
 	certificate, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
@@ -55,13 +56,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authorities) {
-		return nil, errors.Errorf("%s: no certificate found", authorityFile)
+		return nil, errors.Errorf("read authorities: %s: no certificate found", authorityFile)
 	}
 	return &Identity{Certificate: certificate, Authorities: pool}, nil
 }
 
-// clientConfig is read for each new connection, so that it uses the identity
-// of that moment.
+// clientConfig returns the TLS configuration for one outgoing connection. It
+// is built for each connection, so that a replaced identity takes effect.
 func (k *Keys) clientConfig() *tls.Config {
 	identity := k.current.Load()
 	return &tls.Config{
@@ -73,9 +74,10 @@
 	}
 }
 
-// serverConfig verifies clients itself rather than by the library's setting,
-// so that every stranger is counted.
-func (k *Keys) serverConfig(stranger func()) *tls.Config {
+// serverConfig returns the TLS configuration for incoming connections. It
+// verifies clients in VerifyConnection instead of by ClientAuth, so that
+// onRejected is called for every client that is rejected.
+func (k *Keys) serverConfig(onRejected func()) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{alpn},
@@ -89,7 +91,7 @@
 				VerifyConnection: func(state tls.ConnectionState) error {
 					err := verifyClient(state, identity.Authorities)
 					if err != nil {
-						stranger()
+						onRejected()
 					}
 					return err
 				},
@@ -98,8 +100,8 @@
 	}
 }
 
-// verifyClient refuses a client with no certificate, one that our authorities
-// did not sign, and one that is not an instance's.
+// verifyClient rejects a client without a certificate, with a certificate that
+// the authorities did not sign, or with one that isn't for an instance.
 func verifyClient(state tls.ConnectionState, authorities *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.New("client sent no certificate")
@@ -117,21 +119,21 @@
 	return errors.Wrap(err, "verify client")
 }
 
-// Authority signs identities. The local trial and tests use it; in production
-// the certificates come from the operators.
+// Authority signs identities for the local trial and tests. In production the
+// operators supply the certificates.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// authorityLife is how long a locally made certificate is valid.
-const authorityLife = 24 * time.Hour
+// certificateValidity is the validity of a locally generated certificate.
+const certificateValidity = 24 * time.Hour
 
-// NewAuthority makes a fresh authority.
+// NewAuthority generates an authority with a self-signed certificate.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make authority key")
+		return nil, errors.Wrap(err, "generate authority key")
 	}
 	template := certificateTemplate("mastwheel authority")
 	template.IsCA = true
@@ -139,20 +141,20 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, errors.Wrap(err, "make authority certificate")
+		return nil, errors.Wrap(err, "create authority certificate")
 	}
 	certificate, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, errors.Wrap(err, "read authority certificate")
+		return nil, errors.Wrap(err, "parse authority certificate")
 	}
 	return &Authority{certificate: certificate, key: key}, nil
 }
 
-// Identity makes a certificate for an instance.
+// Identity generates a key and a signed certificate for an instance.
 func (a *Authority) Identity(name string) (*Identity, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make instance key")
+		return nil, errors.Wrap(err, "generate instance key")
 	}
 	template := certificateTemplate(name)
 	template.DNSNames = []string{TLSName}
@@ -160,7 +162,7 @@
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, &key.PublicKey, a.key)
 	if err != nil {
-		return nil, errors.Wrap(err, "make instance certificate")
+		return nil, errors.Wrap(err, "create instance certificate")
 	}
 	pool := x509.NewCertPool()
 	pool.AddCert(a.certificate)
@@ -174,18 +176,19 @@
 		SerialNumber: big.NewInt(now.UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-time.Minute),
-		NotAfter:     now.Add(authorityLife),
+		NotAfter:     now.Add(certificateValidity),
 	}
 }
 
-// Names of the files that PEM makes.
+// Names of the files that PEM returns.
 const (
 	CertificateFile = "instance.crt"
 	KeyFile         = "instance.key"
 	AuthoritiesFile = "authorities.crt"
 )
 
-// PEM makes an instance's identity as the files that LoadIdentity reads.
+// PEM generates an identity for an instance and returns it as the contents of
+// the files that LoadIdentity reads, by file name.
 func (a *Authority) PEM(name string) (map[string][]byte, error) {
 	identity, err := a.Identity(name)
 	if err != nil {
--- a/peer/message.go
+++ b/peer/message.go
@@ -1,6 +1,6 @@
 // Package peer carries messages between sibling instances over QUIC with
-// mutual TLS: heartbeats as datagrams, questions with an answer on a stream
-// each.
+// mutual TLS. Heartbeats are datagrams, and each request with its answer uses
+// a stream of its own.
 package peer
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// ServerLoad is a steward's digest of one backend server's report.
+// ServerLoad is a steward's digest of one backend server's load report.
 type ServerLoad struct {
 	// ID is route.ServerID of the server's name.
 	ID            uint32 `cbor:"1,keyasint"`
@@ -24,18 +24,20 @@
 	FreePieces    int    `cbor:"4,keyasint,omitempty"`
 	Leaving       bool   `cbor:"5,keyasint,omitempty"`
 	// Cached and Dropped are the latest changes of a prefill engine's prefix
-	// cache, as many as fit.
+	// cache, limited to what fits into the message.
 	Cached  []uint64 `cbor:"6,keyasint,omitempty"`
 	Dropped []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Heartbeat says that its sender lives, and what its workers report.
+// Heartbeat shows that its sender is alive and carries the load of the backend
+// servers that it is the steward of.
 type Heartbeat struct {
 	Info  member.Info  `cbor:"1,keyasint"`
 	Loads []ServerLoad `cbor:"2,keyasint,omitempty"`
 }
 
-// Reserve asks a steward for a place at a worker; see route.Ask.
+// Reserve requests a reservation at a backend server from its steward; see
+// route.Ask.
 type Reserve struct {
 	Worker    string        `cbor:"1,keyasint"`
 	RequestID string        `cbor:"2,keyasint"`
@@ -49,21 +51,21 @@
 	MostAhead int           `cbor:"11,keyasint,omitempty"`
 }
 
-// Reserved answers Reserve; an empty Refused is a promise.
+// Reserved answers Reserve. With an empty Refused the reservation is granted.
 type Reserved struct {
 	Refused reason.Reason `cbor:"1,keyasint,omitempty"`
 	Free    int           `cbor:"2,keyasint,omitempty"`
 	Ahead   int           `cbor:"3,keyasint,omitempty"`
 }
 
-// Release gives reserved memory back.
+// Release releases reserved memory.
 type Release struct {
 	Worker    string `cbor:"1,keyasint"`
 	RequestID string `cbor:"2,keyasint"`
 	Attempt   int    `cbor:"3,keyasint"`
 }
 
-// Intent tells a witness that the home is about to send an operation.
+// Intent informs a witness that the home is about to send an operation.
 type Intent struct {
 	Operation string `cbor:"1,keyasint"`
 }
@@ -73,13 +75,13 @@
 	Refused reason.Reason `cbor:"1,keyasint,omitempty"`
 }
 
-// Settle tells a witness the outcome of an operation.
+// Settle informs a witness of the outcome of an operation.
 type Settle struct {
 	Operation string           `cbor:"1,keyasint"`
 	Status    operation.Status `cbor:"2,keyasint"`
 }
 
-// AskOperation asks a home or a witness what became of an operation.
+// AskOperation requests the status of an operation from its home or a witness.
 type AskOperation struct {
 	Operation string `cbor:"1,keyasint"`
 }
@@ -89,32 +91,32 @@
 	Status operation.Status `cbor:"1,keyasint"`
 }
 
-// AskTrace asks for the record of a request, as JSON.
+// AskTrace requests the trace of a request, as JSON.
 type AskTrace struct {
 	RequestID string `cbor:"1,keyasint"`
 }
 
-// TraceAnswer answers AskTrace; empty when the record is not kept.
+// TraceAnswer answers AskTrace. It is empty when the trace is not kept.
 type TraceAnswer struct {
 	JSON []byte `cbor:"1,keyasint,omitempty"`
 }
 
-// AskRecords asks for log records from an offset on.
+// AskRecords requests log records from an offset on.
 type AskRecords struct {
 	From uint64 `cbor:"1,keyasint"`
 }
 
-// Records answers AskRecords. When the records asked for are no longer kept,
-// Snapshot holds a whole table and its fold state instead.
+// Records answers AskRecords. When the requested records are no longer kept,
+// Snapshot holds the full table and its fold state instead.
 type Records struct {
 	Next    uint64   `cbor:"1,keyasint"`
 	Records [][]byte `cbor:"2,keyasint,omitempty"`
-	// First is the offset of the first of Records.
+	// First is the offset of the first entry of Records.
 	First    uint64 `cbor:"3,keyasint,omitempty"`
 	Snapshot []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// AskHeard asks when the receiver last heard a member.
+// AskHeard requests the time since the receiver's last contact with a member.
 type AskHeard struct {
 	Member operation.Member `cbor:"1,keyasint"`
 }
@@ -125,13 +127,13 @@
 	Silence time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
-// Claim names an attempt that an engine holds.
+// Claim identifies an attempt that an engine holds.
 type Claim struct {
 	RequestID string `cbor:"1,keyasint"`
 	Attempt   int    `cbor:"2,keyasint"`
 }
 
-// AskClaims asks a home which attempts it still works on.
+// AskClaims asks a home which attempts of a list it still works on.
 type AskClaims struct {
 	Home   operation.Member `cbor:"1,keyasint"`
 	Claims []Claim          `cbor:"2,keyasint"`
@@ -139,13 +141,14 @@
 
 // Claims answers AskClaims.
 type Claims struct {
-	// Home is who answers: a later run of the home knows nothing.
+	// Home is the member that answers. A later run of the home's process
+	// doesn't know the attempts of an earlier run.
 	Home operation.Member `cbor:"1,keyasint"`
 	// Abandoned are the attempts that have ended.
 	Abandoned []Claim `cbor:"2,keyasint,omitempty"`
 }
 
-// Message is one message; exactly one field is set.
+// Message is one message between siblings. Exactly one field is set.
 type Message struct {
 	Heartbeat       *Heartbeat       `cbor:"1,keyasint,omitempty"`
 	Reserve         *Reserve         `cbor:"2,keyasint,omitempty"`
@@ -166,29 +169,29 @@
 	Claims          *Claims          `cbor:"17,keyasint,omitempty"`
 }
 
-// Handler answers messages from siblings. A nil answer means that the message
-// wants none, or that it was not understood.
+// Handler answers messages from siblings. It returns nil when the message has
+// no answer or is of an unknown kind.
 type Handler func(ctx context.Context, message *Message) *Message
 
-// ErrUnreached means that a sibling gave no answer. Whether it received the
-// question is not known.
-var ErrUnreached = errors.New("sibling gave no answer")
+// ErrUnreached means that no answer was received from a sibling. Whether the
+// sibling received the request is not known.
+var ErrUnreached = errors.New("no answer from sibling")
 
-// Transport carries messages to siblings by address, "ip:port".
+// Transport exchanges messages with siblings, addressed by "ip:port".
 type Transport interface {
-	// Call asks a question and waits for its answer.
-	Call(ctx context.Context, address string, question *Message) (*Message, error)
-	// Send sends a message that may be lost and has no answer.
+	// Call sends a request and waits for its answer.
+	Call(ctx context.Context, address string, request *Message) (*Message, error)
+	// Send sends a message without an answer. The message may be lost.
 	Send(address string, message *Message)
-	// Serve hands arriving messages to handler until ctx ends.
+	// Serve passes received messages to handler until ctx ends.
 	Serve(ctx context.Context, handler Handler) error
 	Close() error
 }
 
-// Encode writes a message as CBOR.
+// Encode encodes a message as CBOR.
 func Encode(message *Message) ([]byte, error) { return cbor.Marshal(message) }
 
-// Decode reads a message from CBOR.
+// Decode decodes a message from CBOR.
 func Decode(data []byte) (*Message, error) {
 	message := new(Message)
 	if err := cbor.Unmarshal(data, message); err != nil {
--- a/peer/quic.go
+++ b/peer/quic.go
@@ -13,47 +13,51 @@
 )
 
 const (
-	// maxMessage bounds a message on a stream, in bytes.
-	maxMessage = 4 << 20
-	// maxDatagram is what fits a QUIC datagram on every path, in bytes. A
-	// longer heartbeat goes on a stream.
-	maxDatagram = 1100
-	// idleTimeout drops a connection to a silent sibling.
+	// maxMessageBytes is the maximum size of a message on a stream, in bytes.
+	maxMessageBytes = 4 << 20
+	// maxDatagramBytes is a size that fits into a QUIC datagram on every path, in
+	// bytes. A longer heartbeat is sent on a stream.
+	maxDatagramBytes = 1100
+	// idleTimeout is the time without traffic after which a connection is
+	// closed.
 	idleTimeout = 10 * time.Second
-	// keepAlive keeps connections between heartbeats.
-	keepAlive = 3 * time.Second
-	// handshakeTimeout bounds a connection set-up.
+	// keepAliveInterval is the interval of keep-alive packets, which keep connections
+	// open between heartbeats.
+	keepAliveInterval = 3 * time.Second
+	// handshakeTimeout limits the time to establish a connection.
 	handshakeTimeout = time.Second
-	// maxStreams bounds the questions that one sibling may have open.
+	// maxStreams limits the concurrent requests of one sibling.
 	maxStreams = 4096
-	// redialPause keeps heartbeats from dialling a dead sibling all the time.
-	redialPause = time.Second
+	// redialInterval is the minimum time between two dial attempts to one
+	// address. Without it each heartbeat to a dead sibling would dial again.
+	redialInterval = time.Second
 )
 
-// QUIC is the Transport over QUIC.
+// QUIC implements Transport over QUIC.
 type QUIC struct {
 	keys      *Keys
 	transport *quic.Transport
 	listener  *quic.Listener
-	strangers atomic.Int64
+	rejected  atomic.Int64
 
 	mu    sync.Mutex
 	links map[string]*link
 }
 
-// link is the connection to one address, or the attempt to make one.
+// link is the connection to one address, or the attempt to establish one.
 type link struct {
-	ready chan struct{}
-	conn  *quic.Conn
-	err   error
-	made  time.Time
+	// ready is closed once conn or err is set.
+	ready   chan struct{}
+	conn    *quic.Conn
+	err     error
+	created time.Time
 }
 
-// ListenQUIC opens the UDP address for siblings.
+// ListenQUIC opens a UDP socket at an address and returns a transport on it.
 func ListenQUIC(address string, keys *Keys) (*QUIC, error) {
 	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "peer address")
+		return nil, errors.Wrap(err, "resolve peer address")
 	}
 	conn, err := net.ListenUDP("udp", udpAddress)
 	if err != nil {
@@ -62,12 +66,12 @@
 	return NewQUIC(conn, keys)
 }
 
-// NewQUIC serves siblings on an open UDP socket, which it closes at the end.
+// NewQUIC returns a transport on an open UDP socket. Its Close closes the socket.
 func NewQUIC(conn net.PacketConn, keys *Keys) (*QUIC, error) {
 	transport := &quic.Transport{Conn: conn}
 	q := &QUIC{keys: keys, transport: transport, links: make(map[string]*link)}
 	var err error
-	q.listener, err = transport.Listen(keys.serverConfig(q.countStranger), quicConfig())
+	q.listener, err = transport.Listen(keys.serverConfig(q.countRejected), quicConfig())
 	if err != nil {
 		conn.Close()
 		return nil, errors.Wrap(err, "listen for siblings")
@@ -75,26 +79,27 @@
 	return q, nil
 }
 
-func (q *QUIC) countStranger() { q.strangers.Add(1) }
+func (q *QUIC) countRejected() { q.rejected.Add(1) }
 
-// Strangers counts the connections that were refused for want of a valid key.
-func (q *QUIC) Strangers() int64 { return q.strangers.Load() }
+// Strangers returns the number of connections that were rejected because the
+// client had no valid certificate.
+func (q *QUIC) Strangers() int64 { return q.rejected.Load() }
 
 func quicConfig() *quic.Config {
 	return &quic.Config{
 		EnableDatagrams:       true,
 		HandshakeIdleTimeout:  handshakeTimeout,
 		MaxIdleTimeout:        idleTimeout,
-		KeepAlivePeriod:       keepAlive,
+		KeepAlivePeriod:       keepAliveInterval,
 		MaxIncomingStreams:    maxStreams,
 		MaxIncomingUniStreams: -1,
 	}
 }
 
-// Address returns the UDP address in use.
+// Address returns the local UDP address.
 func (q *QUIC) Address() string { return q.transport.Conn.LocalAddr().String() }
 
-// Close ends every connection.
+// Close closes all connections and the socket.
 func (q *QUIC) Close() error {
 	q.listener.Close()
 	err := q.transport.Close()
@@ -107,7 +112,7 @@
 	for {
 		conn, err := q.listener.Accept(ctx)
 		if err != nil {
-			return errors.Wrap(err, "accept sibling")
+			return errors.Wrap(err, "accept sibling connection")
 		}
 		go serveConn(ctx, conn, handler)
 	}
@@ -138,15 +143,15 @@
 
 func serveStream(ctx context.Context, stream *quic.Stream, handler Handler) {
 	defer stream.Close()
-	data, err := io.ReadAll(io.LimitReader(stream, maxMessage))
+	data, err := io.ReadAll(io.LimitReader(stream, maxMessageBytes))
 	if err != nil {
 		return
 	}
-	question, err := Decode(data)
+	request, err := Decode(data)
 	if err != nil {
 		return
 	}
-	answer := handler(ctx, question)
+	answer := handler(ctx, request)
 	if answer == nil {
 		return
 	}
@@ -156,20 +161,20 @@
 }
 
 // Call implements Transport.
-func (q *QUIC) Call(ctx context.Context, address string, question *Message) (*Message, error) {
+func (q *QUIC) Call(ctx context.Context, address string, request *Message) (*Message, error) {
 	conn, err := q.connect(ctx, address)
 	if err != nil {
 		return nil, errors.Wrap(ErrUnreached, err.Error())
 	}
-	answer, err := exchange(ctx, conn, question)
+	answer, err := exchange(ctx, conn, request)
 	if err != nil {
 		return nil, errors.Wrap(ErrUnreached, err.Error())
 	}
 	return answer, nil
 }
 
-func exchange(ctx context.Context, conn *quic.Conn, question *Message) (*Message, error) {
-	encoded, err := Encode(question)
+func exchange(ctx context.Context, conn *quic.Conn, request *Message) (*Message, error) {
+	encoded, err := Encode(request)
 	if err != nil {
 		return nil, err
 	}
@@ -186,7 +191,7 @@
 		return nil, err
 	}
 	stream.Close()
-	data, err := io.ReadAll(io.LimitReader(stream, maxMessage))
+	data, err := io.ReadAll(io.LimitReader(stream, maxMessageBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -196,8 +201,8 @@
 	return Decode(data)
 }
 
-// Send implements Transport. It never blocks: a message to an address that is
-// not connected yet starts the connection and is lost.
+// Send implements Transport. It never blocks. Without a connection to the
+// address it starts to dial and drops the message.
 func (q *QUIC) Send(address string, message *Message) {
 	l := q.link(address)
 	select {
@@ -212,7 +217,7 @@
 	if err != nil {
 		return
 	}
-	if len(encoded) <= maxDatagram && l.conn.SendDatagram(encoded) == nil {
+	if len(encoded) <= maxDatagramBytes && l.conn.SendDatagram(encoded) == nil {
 		return
 	}
 	if stream, err := l.conn.OpenStream(); err == nil {
@@ -232,7 +237,8 @@
 	}
 }
 
-// link returns the live link to an address, and dials when there is none.
+// link returns the link to an address. It starts to dial when there is none or
+// when the existing one is stale.
 func (q *QUIC) link(address string) *link {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -240,13 +246,13 @@
 	if ok && !l.stale(time.Now()) {
 		return l
 	}
-	l = &link{ready: make(chan struct{}), made: time.Now()}
+	l = &link{ready: make(chan struct{}), created: time.Now()}
 	q.links[address] = l
 	go q.dial(address, l)
 	return l
 }
 
-// stale says whether the link must be made anew.
+// stale reports whether the link must be replaced by a new one.
 func (l *link) stale(now time.Time) bool {
 	select {
 	case <-l.ready:
@@ -254,7 +260,7 @@
 		return false
 	}
 	if l.err != nil {
-		return now.Sub(l.made) > redialPause
+		return now.Sub(l.created) > redialInterval
 	}
 	return l.conn.Context().Err() != nil
 }
--- a/peer/quic_test.go
+++ b/peer/quic_test.go
@@ -15,21 +15,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// station is a transport that answers every Reserve with one free piece.
-type station struct {
+// testInstance is an instance that answers every Reserve with one free memory piece
+// and counts heartbeats.
+type testInstance struct {
 	*QUIC
-	keys  *Keys
-	beats atomic.Int64
-	stop  func()
+	keys       *Keys
+	heartbeats atomic.Int64
+	stop       func()
 }
 
-func open(t *testing.T, authority *Authority, name string) *station {
+func openInstance(t *testing.T, authority *Authority, name string) *testInstance {
 	t.Helper()
 	identity, err := authority.Identity(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &station{keys: NewKeys(identity)}
+	s := &testInstance{keys: NewKeys(identity)}
 	s.QUIC, err = ListenQUIC("127.0.0.1:0", s.keys)
 	if err != nil {
 		t.Fatal(err)
@@ -48,15 +49,16 @@
 	return s
 }
 
-func (s *station) answer(_ context.Context, message *Message) *Message {
+func (s *testInstance) answer(_ context.Context, message *Message) *Message {
 	if message.Heartbeat != nil {
-		s.beats.Add(1)
+		s.heartbeats.Add(1)
 		return nil
 	}
 	return &Message{Reserved: &Reserved{Free: 1, Refused: reason.Reason(message.Reserve.Worker)}}
 }
 
-// eventually waits for something that must come, however slow the machine.
+// eventually waits until holds returns true. The limit of 3000 checks, 10 ms
+// apart, leaves time for a slow machine.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for range 3000 {
@@ -65,7 +67,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("did not come: " + what)
+	t.Fatal("condition not met in time: " + what)
 }
 
 func mustAuthority(t *testing.T) *Authority {
@@ -79,86 +81,87 @@
 
 func TestSiblings(t *testing.T) {
 	authority := mustAuthority(t)
-	one, other := open(t, authority, "one"), open(t, authority, "other")
+	one, other := openInstance(t, authority, "one"), openInstance(t, authority, "other")
 	defer one.stop()
 	defer other.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	Convey("A question gets its answer", t, func() {
-		question := &Message{Reserve: &Reserve{Worker: "w", Pieces: 3}}
-		answer, err := one.Call(ctx, other.Address(), question)
+	Convey("A request receives its answer", t, func() {
+		request := &Message{Reserve: &Reserve{Worker: "w", Pieces: 3}}
+		answer, err := one.Call(ctx, other.Address(), request)
 		So(err, ShouldBeNil)
 		So(*answer.Reserved, ShouldResemble, Reserved{Free: 1, Refused: "w"})
 	})
-	Convey("A heartbeat arrives, as a datagram or, when long, on a stream", t, func() {
+	Convey("A short heartbeat arrives as a datagram, a long one on a stream", t, func() {
 		long := &Message{Heartbeat: &Heartbeat{Loads: make([]ServerLoad, 500)}}
 		one.Send(other.Address(), &Message{Heartbeat: &Heartbeat{}})
 		one.Send(other.Address(), long)
-		eventually(t, "two heartbeats", func() bool { return other.beats.Load() == 2 })
+		eventually(t, "two heartbeats", func() bool { return other.heartbeats.Load() == 2 })
 	})
-	Convey("An address where nobody listens is an error", t, func() {
+	Convey("A call to an address without a listener fails", t, func() {
 		_, err := one.Call(ctx, "127.0.0.1:1", &Message{Reserve: &Reserve{}})
 		So(err, ShouldNotBeNil)
 	})
 }
 
-func TestStrangersAreRefused(t *testing.T) {
-	ours := open(t, mustAuthority(t), "ours")
+func TestClientOfAnotherAuthorityIsRejected(t *testing.T) {
+	ours := openInstance(t, mustAuthority(t), "ours")
 	defer ours.stop()
-	stranger := open(t, mustAuthority(t), "stranger")
-	defer stranger.stop()
+	foreign := openInstance(t, mustAuthority(t), "foreign")
+	defer foreign.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	_, err := stranger.Call(ctx, ours.Address(), &Message{Reserve: &Reserve{}})
+	_, err := foreign.Call(ctx, ours.Address(), &Message{Reserve: &Reserve{}})
 	if err == nil {
-		t.Fatal("a stranger got an answer")
+		t.Fatal("a client of another authority received an answer")
 	}
 }
 
-func TestClientWithoutCertificateIsRefused(t *testing.T) {
+func TestClientWithoutCertificateIsRejected(t *testing.T) {
 	authority := mustAuthority(t)
-	ours, bare := open(t, authority, "ours"), open(t, authority, "bare")
+	ours, bare := openInstance(t, authority, "ours"), openInstance(t, authority, "bare")
 	defer ours.stop()
 	defer bare.stop()
-	naked := *bare.keys.current.Load()
-	naked.Certificate = tls.Certificate{}
-	bare.keys.Replace(&naked)
+	withoutCertificate := *bare.keys.current.Load()
+	withoutCertificate.Certificate = tls.Certificate{}
+	bare.keys.Replace(&withoutCertificate)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	if _, err := bare.Call(ctx, ours.Address(), &Message{Reserve: &Reserve{}}); err == nil {
-		t.Fatal("a client without a certificate got an answer")
+		t.Fatal("a client without a certificate received an answer")
 	}
-	eventually(t, "the stranger is counted", func() bool { return ours.Strangers() == 1 })
+	eventually(t, "the rejected client is counted", func() bool { return ours.Strangers() == 1 })
 }
 
-func TestClientWithForeignKeyIsRefused(t *testing.T) {
+func TestClientWithKeyOfAnotherAuthorityIsRejected(t *testing.T) {
 	authority := mustAuthority(t)
-	ours := open(t, authority, "ours")
+	ours := openInstance(t, authority, "ours")
 	defer ours.stop()
-	// The thief trusts our authority but was not signed by it.
-	thief := open(t, mustAuthority(t), "thief")
-	defer thief.stop()
+	// The impostor trusts the authority, but its certificate is signed by
+	// another one.
+	impostor := openInstance(t, mustAuthority(t), "impostor")
+	defer impostor.stop()
 	trusted, err := authority.Identity("trusted")
 	if err != nil {
 		t.Fatal(err)
 	}
-	forged := *thief.keys.current.Load()
+	forged := *impostor.keys.current.Load()
 	forged.Authorities = trusted.Authorities
-	thief.keys.Replace(&forged)
+	impostor.keys.Replace(&forged)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	if _, err := thief.Call(ctx, ours.Address(), &Message{Reserve: &Reserve{}}); err == nil {
-		t.Fatal("a client with a foreign key got an answer")
+	if _, err := impostor.Call(ctx, ours.Address(), &Message{Reserve: &Reserve{}}); err == nil {
+		t.Fatal("a client with a key of another authority received an answer")
 	}
-	eventually(t, "the stranger is counted", func() bool { return ours.Strangers() == 1 })
+	eventually(t, "the rejected client is counted", func() bool { return ours.Strangers() == 1 })
 }
 
 func TestKeysAreReplacedWhileRunning(t *testing.T) {
 	first, second := mustAuthority(t), mustAuthority(t)
-	one, other := open(t, first, "one"), open(t, first, "other")
+	one, other := openInstance(t, first, "one"), openInstance(t, first, "other")
 	defer one.stop()
 	defer other.stop()
-	for _, s := range []*station{one, other} {
+	for _, s := range []*testInstance{one, other} {
 		identity, err := second.Identity("renewed")
 		if err != nil {
 			t.Fatal(err)
@@ -181,7 +184,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		message, err := Decode(data)
 		if err == nil && message == nil {
-			t.Fatal("neither a message nor an error")
+			t.Fatal("Decode returned neither a message nor an error")
 		}
 	})
 }
