--- a/sibling/sibling.go
+++ b/sibling/sibling.go
@@ -1,5 +1,6 @@
-// Package sibling asks one instance for what it believes, over HTTP with CBOR:
-// for an instance that cannot reach the platform's store.
+// Package sibling transfers a snapshot of one instance's view to another
+// instance, over HTTP with CBOR. Instances that cannot reach the platform's
+// store request it.
 package sibling
 
 import (
@@ -16,37 +17,39 @@
 )
 
 const (
-	// path asks for a snapshot; the body says what the asker has.
-	path = "/snapshot"
-	// askTimeout bounds one question; a table with hundreds of routes has some
-	// hundred kilobytes.
-	askTimeout = 800 * time.Millisecond
-	// idle keeps connections between questions that follow each other; one that
-	// rested for longer may have gone silent without a reset, which costs a
-	// question its time-out.
-	idle = time.Second
+	// snapshotPath is the path of the snapshot. The body of the request states what
+	// the client already has.
+	snapshotPath = "/snapshot"
+	// requestTimeout limits one request. A table with hundreds of routes takes
+	// some hundred kilobytes.
+	requestTimeout = 800 * time.Millisecond
+	// idleTimeout is the time for which an idle connection is kept for the next
+	// request. After a longer time the connection may be dead without a reset,
+	// and a request on it would time out.
+	idleTimeout = time.Second
 )
 
-// Server answers siblings.
+// Server serves snapshots to siblings.
 type Server struct {
-	tell func(edge.Have) edge.Snapshot
-	http *fasthttp.Server
+	snapshot func(edge.Have) edge.Snapshot
+	http     *fasthttp.Server
 }
 
-// NewServer returns a server that answers with tell.
-func NewServer(tell func(edge.Have) edge.Snapshot) *Server {
-	s := &Server{tell: tell}
+// NewServer returns a server that answers each request with the result of
+// snapshot.
+func NewServer(snapshot func(edge.Have) edge.Snapshot) *Server {
+	s := &Server{snapshot: snapshot}
 	s.http = &fasthttp.Server{Handler: s.handle, NoDefaultServerHeader: true, Logger: logging.Silent{}}
 	return s
 }
 
-// Serve answers on listener.
+// Serve serves siblings that connect to listener.
 func (s *Server) Serve(listener net.Listener) error {
 	return errors.Wrap(s.http.Serve(listener), "serve siblings")
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	if string(ctx.Path()) != path {
+	if string(ctx.Path()) != snapshotPath {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
@@ -55,7 +58,7 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	body, err := cbor.Marshal(s.tell(have))
+	body, err := cbor.Marshal(s.snapshot(have))
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
@@ -64,15 +67,15 @@
 	ctx.SetBody(body)
 }
 
-// Client asks siblings.
+// Client requests snapshots from siblings.
 type Client struct{ http *fasthttp.Client }
 
 // NewClient returns a client.
 func NewClient() *Client {
 	return &Client{http: &fasthttp.Client{
 		MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
-		// A question that was given up must not hold its connection for ever.
-		ReadTimeout: askTimeout, WriteTimeout: askTimeout, MaxIdleConnDuration: idle,
+		// A request that timed out must not keep its connection open forever.
+		ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, MaxIdleConnDuration: idleTimeout,
 	}}
 }
 
@@ -83,17 +86,17 @@
 	defer fasthttp.ReleaseResponse(response)
 	body, err := cbor.Marshal(have)
 	if err != nil {
-		return edge.Snapshot{}, errors.Wrap(err, "encode what is known")
+		return edge.Snapshot{}, errors.Wrap(err, "encode snapshot request")
 	}
-	request.SetRequestURI("http://" + address + path)
+	request.SetRequestURI("http://" + address + snapshotPath)
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetBody(body)
-	if err := c.http.DoTimeout(request, response, askTimeout); err != nil {
-		return edge.Snapshot{}, errors.Wrap(err, "ask a sibling")
+	if err := c.http.DoTimeout(request, response, requestTimeout); err != nil {
+		return edge.Snapshot{}, errors.Wrap(err, "request snapshot from sibling")
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		return edge.Snapshot{}, errors.Errorf("sibling answered with status %d", response.StatusCode())
+		return edge.Snapshot{}, errors.Errorf("request snapshot from sibling: status %d", response.StatusCode())
 	}
 	var snapshot edge.Snapshot
-	return snapshot, errors.Wrap(cbor.Unmarshal(response.Body(), &snapshot), "decode a sibling's snapshot")
+	return snapshot, errors.Wrap(cbor.Unmarshal(response.Body(), &snapshot), "decode snapshot from sibling")
 }
