--- a/upstream/answer.go
+++ b/upstream/answer.go
@@ -11,41 +11,42 @@
 // Answer is an answer whose header has been read.
 type Answer struct {
 	*http.Response
-	conn    *Conn
-	stop    func() bool
-	written <-chan error
-	heard   func()
-	// whole is set once the body was read to its end.
-	whole bool
-	done  bool
+	conn      *Conn
+	stop      func() bool
+	written   <-chan error
+	onReceive func()
+	// bodyRead is set once the body was read to its end.
+	bodyRead bool
+	done     bool
 }
 
-// maxStray bounds the body of an answer that belongs to another request.
-const maxStray = 1 << 20
+// maxStrayBytes is the maximum size of the body of an answer to another request, in
+// bytes.
+const maxStrayBytes = 1 << 20
 
-// skip reads over an answer that belongs to another request. After one whose
-// end the connection marks, nothing else can follow.
-func skip(response *http.Response) error {
+// discardAnswer reads and discards an answer to another request. It fails for an answer
+// that ends with its connection, because no other answer can follow it.
+func discardAnswer(response *http.Response) error {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-		return errors.New("an answer to another request has no end")
+		return errors.New("answer to another request has neither length nor chunks")
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStray))
-	if err == nil && n == maxStray {
-		return errors.New("an answer to another request is too long")
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes))
+	if err == nil && n == maxStrayBytes {
+		return errors.New("answer to another request is too long")
 	}
 	return err
 }
 
-// Read reads the body. It returns io.EOF only after a whole body, and ErrBroken
-// after one that ended early.
+// Read reads the body. It returns io.EOF only after a complete body, and
+// ErrBroken after a body that ended early.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.Body.Read(p)
-	if n > 0 && a.heard != nil {
-		a.heard()
+	if n > 0 && a.onReceive != nil {
+		a.onReceive()
 	}
 	switch {
 	case err == io.EOF:
-		a.whole = true
+		a.bodyRead = true
 		return n, io.EOF
 	case err != nil:
 		return n, errors.WithMessage(ErrBroken, err.Error())
@@ -53,20 +54,20 @@
 	return n, nil
 }
 
-// ReadAll reads a whole body of at most limit bytes.
+// ReadAll reads the full body of at most limit bytes.
 func (a *Answer) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(body)) > limit {
-		return nil, errors.WithMessage(ErrBroken, "the body is too long")
+		return nil, errors.WithMessage(ErrBroken, "body is longer than the limit")
 	}
 	return body, nil
 }
 
-// Close ends the request: after a whole answer the connection is kept if both
-// sides allow it, else it is closed.
+// Close ends the request. The connection is kept after a complete answer if
+// both sides allow it, and closed otherwise.
 func (a *Answer) Close() error {
 	if conn := a.Next(); conn != nil {
 		conn.release()
@@ -74,25 +75,26 @@
 	return nil
 }
 
-// Next ends the request as Close does, but returns the connection for another one
-// of the same caller: what is sent there reaches the run of the server that gave
-// this answer, or nobody. It is nil if the connection was closed.
+// Next ends the request as Close does, but returns the connection for another
+// request of the same caller. A request sent on it reaches the run of the
+// server's process that gave this answer, or none. Next returns nil if the
+// connection was closed.
 func (a *Answer) Next() *Conn {
 	if a.done {
 		return nil
 	}
 	a.done = true
 	running := a.stop()
-	if running && a.whole && !a.Response.Close && a.sent() && a.framed() {
-		a.keep()
+	if running && a.bodyRead && !a.Response.Close && a.fullyWritten() && a.selfDelimited() {
+		a.prepareReuse()
 		return a.conn
 	}
 	a.conn.Discard()
 	return nil
 }
 
-// sent says whether the whole request was written.
-func (a *Answer) sent() bool {
+// fullyWritten reports whether the whole request was written.
+func (a *Answer) fullyWritten() bool {
 	select {
 	case err := <-a.written:
 		return err == nil
@@ -101,14 +103,16 @@
 	}
 }
 
-// framed says whether the answer had an end of its own.
-func (a *Answer) framed() bool {
+// selfDelimited reports whether the answer's length is known or it is chunked, so that
+// its end is not the end of the connection.
+func (a *Answer) selfDelimited() bool {
 	return a.ContentLength >= 0 || len(a.TransferEncoding) > 0
 }
 
-func (a *Answer) keep() {
+// prepareReuse prepares the connection for another request.
+func (a *Answer) prepareReuse() {
 	if announced, ok := keepAlive(a.Header); ok {
-		a.conn.idleFor = max(announced-a.conn.pool.config.IdleMargin, 0)
+		a.conn.idleTimeout = max(announced-a.conn.pool.config.IdleMargin, 0)
 	}
 	a.conn.raw.SetDeadline(time.Time{})
 }
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -14,60 +14,62 @@
 	"github.com/mastwheel/mastwheel/clock"
 )
 
-// Conn is one connection to a backend server, used by one request at a time.
+// Conn is a connection to a backend server. It carries one request at a time.
 type Conn struct {
 	pool   *Pool
 	raw    net.Conn
 	reader *bufio.Reader
-	// idleFor is how long the server keeps the connection without a request.
-	idleFor   time.Duration
-	idleUntil time.Time
+	// idleTimeout is the time for which the connection may stay idle.
+	idleTimeout time.Duration
+	idleUntil   time.Time
 }
 
-// usable says whether an idle connection may carry another request.
+// usable reports whether an idle connection may carry another request.
 func (c *Conn) usable(now time.Time) bool {
-	return now.Before(c.idleUntil) && c.reader.Buffered() == 0 && silent(c.raw)
+	return now.Before(c.idleUntil) && c.reader.Buffered() == 0 && noPendingInput(c.raw)
 }
 
 // Discard closes the connection.
 func (c *Conn) Discard() {
 	c.raw.Close()
-	c.pool.forget()
+	c.pool.decrementOpen()
 }
 
-// Release gives a connection back that carries no request.
+// Release returns a connection without a request to its pool.
 func (c *Conn) Release() { c.release() }
 
-// release keeps the connection for the next request.
+// release returns the connection to its pool. A connection with unexpected
+// bytes after the last answer is closed.
 func (c *Conn) release() {
 	if c.reader.Buffered() > 0 {
 		c.Discard()
 		return
 	}
-	c.idleUntil = clock.Now().Add(c.idleFor)
-	c.pool.putIdle(c)
+	c.idleUntil = clock.Now().Add(c.idleTimeout)
+	c.pool.addIdle(c)
 }
 
-// Message is one request as it goes over the wire.
+// Message is one request as it is sent.
 type Message struct {
 	Method string
 	// Bytes is the whole request, header and body.
 	Bytes []byte
-	// Mine says whether an answer with that header belongs to this request.
+	// Mine reports whether an answer with this header belongs to this request.
+	// If nil, every answer does.
 	Mine func(http.Header) bool
-	// Heard, if set, is called for each sign of life of the server.
+	// Heard, if set, is called whenever data of the server is received.
 	Heard func()
 }
 
-// past ends a pending read or write at once.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that ends a pending read or write at once.
+var pastDeadline = time.Unix(1, 0)
 
 // Do sends a message and reads the header of its answer. The caller must close
-// the answer's body, which gives the connection back or ends it. When ctx ends
-// before that, the connection is closed. The error is ErrBroken.
+// the answer, which returns the connection to its pool or closes it. When ctx
+// ends before that, the connection is closed. The error is ErrBroken.
 func (c *Conn) Do(ctx context.Context, message Message) (*Answer, error) {
 	c.raw.SetDeadline(time.Time{})
-	stop := context.AfterFunc(ctx, func() { c.raw.SetDeadline(past) })
+	stop := context.AfterFunc(ctx, func() { c.raw.SetDeadline(pastDeadline) })
 	written := c.write(message.Bytes)
 	response, err := c.answer(message)
 	if err != nil {
@@ -75,21 +77,22 @@
 		c.Discard()
 		return nil, errors.WithMessage(ErrBroken, err.Error())
 	}
-	return &Answer{Response: response, conn: c, stop: stop, written: written, heard: message.Heard}, nil
+	return &Answer{Response: response, conn: c, stop: stop, written: written, onReceive: message.Heard}, nil
 }
 
-// smallMessage is written before the answer is awaited. A longer one is
-// written beside, since a server may answer before it has read it all.
-const smallMessage = 8 << 10
+// maxSyncWrite is the size in bytes up to which a message is written before its
+// answer is read. A longer message is written concurrently, because a server
+// may answer before it has read all of it.
+const maxSyncWrite = 8 << 10
 
-// write sends the message; the channel yields whether all of it was written.
+// write sends the message. The channel receives the result of the write.
 func (c *Conn) write(message []byte) <-chan error {
 	written := make(chan error, 1)
 	send := func() {
 		_, err := c.raw.Write(message)
 		written <- err
 	}
-	if len(message) <= smallMessage {
+	if len(message) <= maxSyncWrite {
 		send()
 	} else {
 		go send()
@@ -98,7 +101,7 @@
 }
 
 // answer reads answers until one belongs to the request. Others are late
-// repetitions of answers to earlier requests, and are dropped.
+// duplicates of answers to earlier requests and are dropped.
 func (c *Conn) answer(message Message) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: message.Method})
@@ -111,13 +114,13 @@
 		if message.Mine == nil || message.Mine(response.Header) {
 			return response, nil
 		}
-		if err := skip(response); err != nil {
+		if err := discardAnswer(response); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// keepAlive reads the idle timeout that a server announces, if any.
+// keepAlive returns the idle timeout that a server announces, if any.
 func keepAlive(header http.Header) (time.Duration, bool) {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -13,7 +13,7 @@
 	"github.com/mastwheel/mastwheel/clock"
 )
 
-// Pool keeps the connections to one backend server.
+// Pool holds the connections to one backend server.
 type Pool struct {
 	address string
 	config  Config
@@ -26,7 +26,7 @@
 	closed bool
 }
 
-// NewPool returns a pool without connections to "ip:port".
+// NewPool returns an empty pool for the server at address, "ip:port".
 func NewPool(address string, config Config) *Pool {
 	return &Pool{
 		address: address,
@@ -35,18 +35,19 @@
 	}
 }
 
-// Limit bounds the connections open at once; 0 means no bound.
+// Limit sets the maximum number of open connections. 0 means no limit.
 func (p *Pool) Limit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = limit
 }
 
-// readBuffer holds a usual header with a small body.
-const readBuffer = 4 << 10
+// readBufferSize is the size of a connection's read buffer in bytes. A typical
+// header with a small body fits into it.
+const readBufferSize = 4 << 10
 
-// Acquire returns an idle connection that looks sound, or opens one. Its error
-// is ErrNotSent.
+// Acquire returns a usable idle connection or opens a new one. Its error is
+// ErrNotSent.
 func (p *Pool) Acquire(ctx context.Context) (*Conn, error) {
 	for {
 		conn, full := p.takeIdle()
@@ -63,8 +64,8 @@
 	}
 }
 
-// takeIdle takes the connection used last. Without one it books a new
-// connection, or says that the limit is reached.
+// takeIdle removes and returns the most recently used idle connection. Without
+// one it counts a new connection as open, or reports that the limit is reached.
 func (p *Pool) takeIdle() (conn *Conn, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,22 +84,23 @@
 func (p *Pool) dial(ctx context.Context) (*Conn, error) {
 	raw, err := p.dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
-		p.forget()
+		p.decrementOpen()
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return nil, errors.WithMessage(ErrRefused, err.Error())
 		}
 		return nil, errors.WithMessage(ErrNotSent, err.Error())
 	}
-	return &Conn{pool: p, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer), idleFor: p.config.IdleTimeout}, nil
+	return &Conn{pool: p, raw: raw, reader: bufio.NewReaderSize(raw, readBufferSize), idleTimeout: p.config.IdleTimeout}, nil
 }
 
-func (p *Pool) forget() {
+// decrementOpen counts a connection as no longer open.
+func (p *Pool) decrementOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-func (p *Pool) putIdle(conn *Conn) {
+func (p *Pool) addIdle(conn *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -109,7 +111,7 @@
 	p.idle = append(p.idle, conn)
 }
 
-// Prune closes the connections that were idle for too long.
+// Prune closes the connections whose idle timeout has passed.
 func (p *Pool) Prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,7 +128,8 @@
 	p.idle = kept
 }
 
-// Close closes the idle connections, and the others once they are released.
+// Close closes the idle connections at once and the others when they are
+// released.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/upstream/socket.go
+++ b/upstream/socket.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout returns a net.Dialer's Control that sets TCP_USER_TIMEOUT on a
-// new socket: bytes that stay unacknowledged for so long end the connection.
+// UserTimeout returns a Control function for a net.Dialer that sets
+// TCP_USER_TIMEOUT on a new socket. The kernel closes the connection when sent
+// bytes stay unacknowledged for this time.
 func UserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
@@ -23,9 +24,9 @@
 	}
 }
 
-// silent says whether nothing, neither bytes nor an end, waits to be read from
-// an idle connection.
-func silent(conn net.Conn) bool {
+// noPendingInput reports whether neither data nor the end of the stream waits to be read
+// from an idle connection.
+func noPendingInput(conn net.Conn) bool {
 	access, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -34,11 +35,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Control(func(fd uintptr) {
 		var buffer [1]byte
 		_, _, failed := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = failed == unix.EAGAIN
+		empty = failed == unix.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package upstream keeps connections to backend servers and carries one
-// request at a time over each. It knows when a request was certainly not sent,
-// matches each answer to its request, and never uses a connection again that
-// has said one byte too many.
+// Package upstream keeps connections to backend servers and sends one request
+// at a time over each. It reports whether a request was certainly not sent and
+// matches each answer to its request. It doesn't reuse a connection on which
+// more bytes than the answer were received.
 package upstream
 
 import (
@@ -13,32 +13,35 @@
 var (
 	// ErrNotSent means that no byte of the request left this instance.
 	ErrNotSent = errors.New("no connection to the backend server")
-	// ErrRefused is ErrNotSent where nobody listens at the server's address.
+	// ErrRefused is the ErrNotSent of an address where no process listens.
 	ErrRefused = errors.WithMessage(ErrNotSent, "connection refused")
-	// ErrBroken means that the request was sent, at least in part, and that no
-	// whole answer came back: the backend server may have run it.
-	ErrBroken = errors.New("no whole answer from the backend server")
+	// ErrBroken means that the request was sent at least in part and that no
+	// complete answer was received. The backend server may have run it.
+	ErrBroken = errors.New("no complete answer from the backend server")
 )
 
-// Config bounds the connections to one backend server.
+// Config sets the timeouts of the connections to one backend server.
 type Config struct {
-	// DialTimeout bounds the opening of a connection. Shorter finds a dead
-	// server sooner; it must outlast one lost packet inside a region, whose
-	// repetition takes 200 ms at the earliest (RFC 6298 with Linux's floor).
+	// DialTimeout limits the time to open a connection. A shorter timeout
+	// detects a dead server sooner. It must be long enough for one lost packet
+	// inside a region, which is retransmitted after 200 ms at the earliest
+	// (RFC 6298 with Linux's minimum).
 	DialTimeout time.Duration
-	// SilenceTimeout ends a connection whose sent bytes were not acknowledged
-	// for so long (TCP_USER_TIMEOUT). Shorter frees callers of a dead server
-	// sooner; longer survives longer losses of packets.
+	// SilenceTimeout is the time without an acknowledgement of sent bytes after
+	// which a connection is closed (TCP_USER_TIMEOUT). A shorter timeout fails
+	// the requests to a dead server sooner. A longer one tolerates longer
+	// periods of packet loss.
 	SilenceTimeout time.Duration
-	// IdleTimeout closes a connection that nobody used for so long, unless the
-	// server announced a shorter time.
+	// IdleTimeout is the time after which an idle connection is closed, unless
+	// the server announced another time.
 	IdleTimeout time.Duration
-	// IdleMargin is how long before an announced idle timeout a connection is
-	// no longer used: the server's close must not cross a request.
+	// IdleMargin is the time before the end of an announced idle timeout from
+	// which a connection is no longer used, so that the server doesn't close it
+	// while a request is in transit.
 	IdleMargin time.Duration
 }
 
-// DefaultConfig suits servers of the same region.
+// DefaultConfig returns the timeouts for servers in the same region.
 func DefaultConfig() Config {
 	return Config{
 		DialTimeout:    400 * time.Millisecond,
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -14,21 +14,22 @@
 	"github.com/pkg/errors"
 )
 
-// scripted is a server that answers each request with the next text of its
-// script; "close" closes the connection instead.
-type scripted struct {
+// scriptedServer is a server that answers each request with the next text of its
+// script. The text "close" closes the connection instead, and the connection is
+// closed after a text that ends in "cut".
+type scriptedServer struct {
 	listener net.Listener
 	conns    atomic.Int64
 	script   chan string
 }
 
-func newScripted(t *testing.T, script ...string) *scripted {
+func newScriptedServer(t *testing.T, script ...string) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{listener: listener, script: make(chan string, len(script))}
+	s := &scriptedServer{listener: listener, script: make(chan string, len(script))}
 	for _, text := range script {
 		s.script <- text
 	}
@@ -37,7 +38,7 @@
 	return s
 }
 
-func (s *scripted) accept() {
+func (s *scriptedServer) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
@@ -48,7 +49,7 @@
 	}
 }
 
-func (s *scripted) serve(conn net.Conn) {
+func (s *scriptedServer) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -69,9 +70,9 @@
 	}
 }
 
-func (s *scripted) pool() *Pool { return NewPool(s.listener.Addr().String(), DefaultConfig()) }
+func (s *scriptedServer) pool() *Pool { return NewPool(s.listener.Addr().String(), DefaultConfig()) }
 
-// answerTo is a whole answer with an id.
+// answerTo returns a complete answer with an id.
 func answerTo(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
@@ -83,7 +84,7 @@
 	}
 }
 
-// exchange sends one request and reads its whole answer.
+// exchange sends one request and reads its complete answer.
 func exchange(pool *Pool, id string) (string, error) {
 	conn, err := pool.Acquire(context.Background())
 	if err != nil {
@@ -98,8 +99,8 @@
 	return string(body), err
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
-	s := newScripted(t, answerTo("a", "one"), answerTo("b", "two"))
+func TestConnectionsAreReused(t *testing.T) {
+	s := newScriptedServer(t, answerTo("a", "one"), answerTo("b", "two"))
 	pool := s.pool()
 	for id, want := range map[string]string{"a": "one"} {
 		if got, err := exchange(pool, id); got != want || err != nil {
@@ -110,19 +111,19 @@
 		t.Fatal(got, err)
 	}
 	if s.conns.Load() != 1 {
-		t.Fatalf("%d connections for two requests in turn", s.conns.Load())
+		t.Fatalf("%d connections for two consecutive requests, want 1", s.conns.Load())
 	}
 }
 
-func TestALateAnswerToAnotherRequestIsDropped(t *testing.T) {
-	s := newScripted(t, answerTo("old", "stale")+answerTo("a", "mine"))
+func TestLateAnswerToAnotherRequestIsDropped(t *testing.T) {
+	s := newScriptedServer(t, answerTo("old", "stale")+answerTo("a", "mine"))
 	if got, err := exchange(s.pool(), "a"); got != "mine" || err != nil {
 		t.Fatal(got, err)
 	}
 }
 
-func TestAConnectionThatSaidTooMuchIsNotUsedAgain(t *testing.T) {
-	s := newScripted(t, answerTo("a", "one")+answerTo("a", "one"), answerTo("b", "two"))
+func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
+	s := newScriptedServer(t, answerTo("a", "one")+answerTo("a", "one"), answerTo("b", "two"))
 	pool := s.pool()
 	if got, err := exchange(pool, "a"); got != "one" || err != nil {
 		t.Fatal(got, err)
@@ -131,21 +132,21 @@
 		t.Fatal(got, err)
 	}
 	if s.conns.Load() != 2 {
-		t.Fatalf("%d connections", s.conns.Load())
+		t.Fatalf("%d connections, want 2", s.conns.Load())
 	}
 }
 
-func TestAnswersThatEndEarlyAreBroken(t *testing.T) {
+func TestIncompleteAnswersAreErrBroken(t *testing.T) {
 	for name, text := range map[string]string{
-		"closed before the answer": "close",
-		"cut in the header":        "HTTP/1.1 200 OK\r\nId: acut",
-		"cut in the body":          "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 20\r\n\r\nbegin cut",
-		"cut in a chunk":           "HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbegin cut",
-		"no answer at all":         "this is no protocol\r\n\r\n",
-		"a stray without an end":   "HTTP/1.1 200 OK\r\nId: other\r\n\r\nhello cut",
+		"closed before the answer":    "close",
+		"cut in the header":           "HTTP/1.1 200 OK\r\nId: acut",
+		"cut in the body":             "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 20\r\n\r\nbegin cut",
+		"cut in a chunk":              "HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbegin cut",
+		"answer is not HTTP":          "this is no protocol\r\n\r\n",
+		"other answer without length": "HTTP/1.1 200 OK\r\nId: other\r\n\r\nhello cut",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScripted(t, text)
+			s := newScriptedServer(t, text)
 			if got, err := exchange(s.pool(), "a"); !errors.Is(err, ErrBroken) {
 				t.Fatalf("%q, %v", got, err)
 			}
@@ -153,8 +154,8 @@
 	}
 }
 
-func TestAnUnframedAnswerEndsWithItsConnection(t *testing.T) {
-	s := newScripted(t, "HTTP/1.1 200 OK\r\nId: a\r\n\r\nwhole, then cut", answerTo("b", "two"))
+func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+	s := newScriptedServer(t, "HTTP/1.1 200 OK\r\nId: a\r\n\r\nwhole, then cut", answerTo("b", "two"))
 	pool := s.pool()
 	if got, err := exchange(pool, "a"); got != "whole, then cut" || err != nil {
 		t.Fatal(got, err)
@@ -164,8 +165,8 @@
 	}
 }
 
-func TestNothingIsSentWithoutAConnection(t *testing.T) {
-	s := newScripted(t)
+func TestFailedDialIsErrNotSent(t *testing.T) {
+	s := newScriptedServer(t)
 	pool := s.pool()
 	s.listener.Close()
 	if _, err := exchange(pool, "a"); !errors.Is(err, ErrNotSent) {
@@ -173,8 +174,8 @@
 	}
 }
 
-func TestTheLimitOfConnectionsHolds(t *testing.T) {
-	s := newScripted(t, answerTo("a", "one"))
+func TestConnectionLimit(t *testing.T) {
+	s := newScriptedServer(t, answerTo("a", "one"))
 	pool := s.pool()
 	pool.Limit(1)
 	held, err := pool.Acquire(context.Background())
@@ -190,14 +191,14 @@
 	}
 }
 
-func TestAConnectionTheServerClosedIsNotUsed(t *testing.T) {
-	s := newScripted(t, answerTo("a", "one")[:len(answerTo("a", "one"))-3]+"cut", answerTo("b", "two"))
+func TestConnectionClosedByServerIsNotReused(t *testing.T) {
+	s := newScriptedServer(t, answerTo("a", "one")[:len(answerTo("a", "one"))-3]+"cut", answerTo("b", "two"))
 	pool := s.pool()
-	// "cut" is the body, and the server closes right behind it.
+	// "cut" is the body, and the server closes the connection right after it.
 	if got, err := exchange(pool, "a"); got != "cut" || err != nil {
 		t.Fatal(got, err)
 	}
-	for silentSince := time.Now(); time.Since(silentSince) < 10*time.Second && len(pool.idle) > 0 && silent(pool.idle[0].raw); {
+	for start := time.Now(); time.Since(start) < 10*time.Second && len(pool.idle) > 0 && noPendingInput(pool.idle[0].raw); {
 		time.Sleep(time.Millisecond)
 	}
 	if got, err := exchange(pool, "b"); got != "two" || err != nil {
@@ -205,8 +206,8 @@
 	}
 }
 
-func TestAnEndedContextEndsTheRequest(t *testing.T) {
-	s := newScripted(t)
+func TestCancelledContextEndsTheRequest(t *testing.T) {
+	s := newScriptedServer(t)
 	conn, err := s.pool().Acquire(context.Background())
 	if err != nil {
 		t.Fatal(err)
@@ -223,7 +224,7 @@
 	}
 }
 
-func TestIdleTimeoutsThatServersAnnounce(t *testing.T) {
+func TestKeepAliveHeader(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"timeout=5": 5 * time.Second, "max=100, timeout=2": 2 * time.Second, "Timeout=1": time.Second,
 	} {
@@ -233,7 +234,7 @@
 	}
 	for _, text := range []string{"", "max=3", "timeout=soon"} {
 		if _, ok := keepAlive(http.Header{"Keep-Alive": {text}}); ok {
-			t.Errorf("%q was taken for a timeout", text)
+			t.Errorf("%q was accepted as a timeout", text)
 		}
 	}
 }
