--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine talks to model engines: prefill, KV import, decode, cancel
-// and load reports. Client is the interface; HTTP is the implementation that
-// the daemon uses, and tests put a fake in its place.
+// Package engine is the client of model engines: prefill, KV import, decode,
+// cancel and load reports. The daemon uses HTTP as the implementation of
+// Client, and tests use a fake.
 package engine
 
 import (
@@ -10,17 +10,20 @@
 	"github.com/pkg/errors"
 )
 
-// Errors that an engine answers with. Callers compare with errors.Is.
+// Errors of calls to an engine. Callers compare them with errors.Is.
 var (
-	// ErrStale means that the engine refused an order for its fencing token.
+	// ErrStale means that the engine refused an order because of its fencing
+	// token.
 	ErrStale = errors.New("engine refused a stale fencing token")
 	// ErrUnreachable means that no byte of the order reached the engine.
 	ErrUnreachable = errors.New("engine unreachable")
-	// ErrRefused means that the engine answered that it did not take the order.
+	// ErrRefused means that the engine answered that it did not accept the
+	// order.
 	ErrRefused = errors.New("engine refused the order")
 	// ErrNoMemory means that the engine has too few free memory pieces.
 	ErrNoMemory = errors.New("engine has no free memory")
-	// ErrExpired means that the prefill result or the KV handle is gone.
+	// ErrExpired means that the engine no longer has the prefill result or the
+	// KV handle.
 	ErrExpired = errors.New("prefill result expired")
 	// ErrBroken means that the engine or its connection failed after the
 	// order was sent; what the engine did is not known.
@@ -32,11 +35,11 @@
 	RequestID string `json:"request_id"`
 	Number    int    `json:"attempt"`
 	// Home is the home instance with its incarnation, "name.incarnation".
-	// A steward cancels what a dead incarnation left behind.
+	// A steward cancels the attempts of a dead incarnation.
 	Home string `json:"home"`
 }
 
-// PrefillOrder asks a prefill engine to read a prompt.
+// PrefillOrder asks a prefill engine to prefill a prompt.
 type PrefillOrder struct {
 	Attempt
 	Model    string `json:"model"`
@@ -44,12 +47,12 @@
 	Priority int    `json:"priority"`
 }
 
-// PrefillResult is the handle of a KV cache that waits to be exported.
+// PrefillResult identifies a KV cache that waits to be exported.
 type PrefillResult struct {
 	Handle       string `json:"handle"`
 	PromptTokens int    `json:"prompt_tokens"`
 	CachedTokens int    `json:"cached_tokens"`
-	// WindowMillis is how long the result survives, in milliseconds.
+	// WindowMillis is the time for which the result is kept, in milliseconds.
 	WindowMillis int64 `json:"window_ms"`
 }
 
@@ -58,13 +61,13 @@
 	Attempt
 	Source string `json:"source"`
 	Handle string `json:"handle"`
-	// Pieces is the memory to hold, in pieces, for prompt and answer.
+	// Pieces is the memory to reserve for prompt and answer, in memory pieces.
 	Pieces int `json:"pieces"`
 }
 
-// DecodeOrder asks a decode engine to generate from an imported KV cache.
-// Generation starts at token position From, so a broken stream is resumed
-// with the first position that was not delivered.
+// DecodeOrder asks a decode engine to generate tokens from an imported KV
+// cache. Generation starts at token position From. A broken stream is resumed
+// at the first position that was not delivered.
 type DecodeOrder struct {
 	Attempt
 	From      int `json:"from"`
@@ -78,45 +81,46 @@
 	Number    int    `json:"attempt"`
 	Position  int    `json:"position"`
 	Text      string `json:"text"`
-	// Last is set on the final token of the answer.
+	// Last is set for the final token of the answer.
 	Last bool `json:"last,omitempty"`
 }
 
-// Stream yields the tokens of one decode.
+// Stream returns the tokens of one decode.
 type Stream interface {
-	// Next blocks for the next token. It returns io.EOF after the last one
-	// and ErrBroken when the stream ends early.
+	// Next waits for the next token. It returns io.EOF after the last token
+	// and ErrBroken when the stream ends before that.
 	Next() (Token, error)
-	// Close releases the connection. It does not cancel the decode.
+	// Close closes the connection. It does not cancel the decode.
 	Close()
 }
 
-// Held is one request whose memory an engine holds.
+// Held is an attempt of a request for which an engine holds memory.
 type Held struct {
 	Attempt
 	Pieces int `json:"pieces"`
 }
 
-// Load is an engine's report about itself. It reaches its reader with a lag.
+// Load is an engine's report of its load. It is received with a delay.
 type Load struct {
 	// Running and Waiting count requests.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// WaitingTokens counts prompt tokens not yet read by a prefill engine.
+	// WaitingTokens counts prompt tokens that wait for prefill.
 	WaitingTokens int `json:"waiting_tokens"`
 	// Pieces and FreePieces count memory pieces.
 	Pieces     int `json:"pieces"`
 	FreePieces int `json:"free_pieces"`
-	// Leaving is set once the engine is about to stop.
+	// Leaving is set once the engine is draining.
 	Leaving bool `json:"leaving"`
-	// Weights names the version that is loaded, and Loading the one that is
-	// being loaded.
+	// Weights is the name of the loaded version, and Loading the name of the
+	// version that is being loaded.
 	Weights string `json:"weights,omitempty"`
 	Loading string `json:"loading,omitempty"`
 	Held    []Held `json:"held,omitempty"`
 }
 
-// CacheEvent says that a prefix entered or left an engine's prefix cache.
+// CacheEvent reports that a prefix was added to an engine's prefix cache or
+// removed from it.
 type CacheEvent struct {
 	Sequence int64  `json:"sequence"`
 	Prefix   uint64 `json:"prefix"`
@@ -128,11 +132,12 @@
 	Prefill(ctx context.Context, address string, order PrefillOrder) (PrefillResult, error)
 	Import(ctx context.Context, address string, order ImportOrder) error
 	Decode(ctx context.Context, address string, order DecodeOrder) (Stream, error)
-	// Cancel ends the attempt and frees its memory. It is idempotent.
+	// Cancel ends the attempt and releases its memory. It is idempotent.
 	Cancel(ctx context.Context, address string, attempt Attempt) error
 	Load(ctx context.Context, address string) (Load, error)
 	CacheEvents(ctx context.Context, address string, after int64) ([]CacheEvent, error)
-	// Load weights, as the holder of the lease on orders.
+	// Order makes the engine load weights. Only the holder of the lease on
+	// orders calls it.
 	Order(ctx context.Context, address string, order WeightsOrder) error
 }
 
@@ -140,28 +145,29 @@
 type WeightsOrder struct {
 	Weights string `json:"weights"`
 	// Token is the fencing token of the lease. Some engines refuse an order
-	// with a lower one than they have seen; others ignore it.
+	// with a lower token than the highest one they received. Others ignore it.
 	Token uint64 `json:"token"`
-	// BytesPerSecond is the rate at which the engine may fetch.
+	// BytesPerSecond is the maximum rate of the engine's fetch.
 	BytesPerSecond int64 `json:"bytes_per_second"`
 }
 
-// PieceTokens is the size of one memory piece, in tokens (source: the brief,
-// "memory is allocated in pieces of about 2,000").
+// PieceTokens is the size of one memory piece, in tokens. A memory piece is the
+// unit of KV cache memory. The users specify that "memory is allocated in
+// pieces of about 2,000".
 const PieceTokens = 2000
 
-// bytesPerToken is the usual average for text; engines report exact counts.
+// bytesPerToken is the usual average for text. Engines report exact counts.
 const bytesPerToken = 4
 
-// EstimateTokens estimates the token count of a prompt from its bytes.
+// EstimateTokens estimates the token count of a prompt from its size in bytes.
 func EstimateTokens(promptBytes int) int {
 	return (promptBytes + bytesPerToken - 1) / bytesPerToken
 }
 
-// PiecesFor returns the memory pieces that a prompt and its answer need.
+// PiecesFor returns the number of memory pieces for a prompt and its answer.
 func PiecesFor(promptTokens, maxTokens int) int {
 	return (promptTokens + maxTokens + PieceTokens - 1) / PieceTokens
 }
 
-// CancelTimeout bounds one try of a cancel order.
+// CancelTimeout limits one attempt to send a cancel order.
 const CancelTimeout = 2 * time.Second
--- a/engine/http.go
+++ b/engine/http.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// Paths of the engine interface.
+// Paths of the engine API.
 const (
 	PathPrefill     = "/v1/prefill"
 	PathImport      = "/v1/kv/import"
@@ -25,7 +25,7 @@
 	PathWeights     = "/v1/weights"
 )
 
-// Status codes with a meaning of their own.
+// Status codes of the engine API with a specific meaning.
 const (
 	StatusRefused  = http.StatusServiceUnavailable
 	StatusNoMemory = http.StatusInsufficientStorage
@@ -34,17 +34,19 @@
 )
 
 const (
-	// dialTimeout bounds a connection set-up inside one region.
+	// dialTimeout limits the time to open a connection inside one region.
 	dialTimeout = 500 * time.Millisecond
-	// maxIdlePerEngine keeps connections for the streams of one engine.
+	// maxIdlePerEngine is the maximum number of idle connections to one
+	// engine. They are kept for its streams.
 	maxIdlePerEngine = 64
-	// maxControlBody bounds a control answer, in bytes.
-	maxControlBody = 1 << 20
+	// maxControlBodyBytes is the maximum size of an answer other than a stream, in
+	// bytes.
+	maxControlBodyBytes = 1 << 20
 )
 
-// HTTP is the Client that speaks JSON and server-sent events over HTTP. It
-// uses net/http because a decode stream must end as soon as its context does,
-// which fasthttp's client cannot express.
+// HTTP implements Client with JSON and server-sent events over HTTP. It uses
+// net/http because a decode stream must end as soon as its context does, which
+// fasthttp's client does not support.
 type HTTP struct {
 	client *http.Client
 }
@@ -60,7 +62,7 @@
 	return &HTTP{client: &http.Client{Transport: transport}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (h *HTTP) Close() { h.client.CloseIdleConnections() }
 
 // Prefill implements Client.
@@ -119,7 +121,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxControlBody))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxControlBodyBytes))
 	if err != nil {
 		return errors.Wrap(ErrBroken, err.Error())
 	}
@@ -146,7 +148,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "build engine order")
+		return nil, errors.Wrap(err, "create engine request")
 	}
 	response, err := h.client.Do(request)
 	if err != nil {
@@ -155,8 +157,8 @@
 	return response, nil
 }
 
-// transportError tells a connection that was never made, where no byte was
-// sent, from one that failed later.
+// transportError distinguishes a connection that was never opened, so that no
+// byte was sent, from a connection that failed later.
 func transportError(err error) error {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
@@ -182,7 +184,7 @@
 	}
 }
 
-// sseStream reads tokens from a body of server-sent events.
+// sseStream reads tokens from a response body of server-sent events.
 type sseStream struct {
 	body   io.ReadCloser
 	reader *bufio.Reader
