--- a/connwatch/connwatch.go
+++ b/connwatch/connwatch.go
@@ -1,7 +1,7 @@
-// Package connwatch notices a caller that goes away while its request is
-// being worked on. An HTTP server does not read from the connection in that
-// time, so nothing else would tell until the next write fails. It also lets a
-// caller read the answer to a request that was not read whole.
+// Package connwatch detects a caller that disconnects while its request is
+// being handled. An HTTP server does not read from the connection during that
+// time, so it would notice only when the next write fails. The package also
+// delivers the answer to a request that was not read completely.
 package connwatch
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/pkg/errors"
 )
 
-// writeTimeout bounds one write to a caller that no longer reads.
+// writeTimeout limits one write to a caller that no longer reads.
 const writeTimeout = 10 * time.Second
 
-// Listener hands out connections that can be watched.
+// Listener accepts connections that can be watched.
 type Listener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -35,68 +35,68 @@
 	net.Conn
 
 	mu sync.Mutex
-	// early is a byte that arrived while the connection was watched: the
-	// begin of a pipelined request.
-	early    byte
-	hasEarly bool
-	// unread is set once a request was answered before all of it was read.
-	unread bool
+	// firstByte is a byte that was received while the connection was watched. It
+	// is the first byte of a pipelined request.
+	firstByte    byte
+	hasFirstByte bool
+	// answeredUnread is set once a request was answered before all of it was read.
+	answeredUnread bool
 }
 
-// A connection that is closed with bytes unread is reset, and a caller that is
-// still sending then loses the answer that was on its way to it. So what is left
-// is read for a while, and dropped.
+// Limits for reading the rest of a request before its connection is closed. The
+// kernel resets a connection that is closed with unread bytes, and a caller that
+// is still sending then loses the answer. So the rest is read and discarded.
 const (
-	// unreadTime bounds it in time: callers that never end do not hold a
-	// connection for longer.
-	unreadTime = time.Second
-	// unreadBytes bounds it in bytes; bodies are refused from 1 MiB on.
-	unreadBytes = 8 << 20
+	// discardTimeout limits the time, so that a caller that never stops sending
+	// doesn't hold a connection for longer.
+	discardTimeout = time.Second
+	// maxDiscardBytes limits the size in bytes. Bodies are refused from 1 MiB on.
+	maxDiscardBytes = 8 << 20
 )
 
-// AnswerUnread notes that the request on conn is answered though it was not read
-// whole.
+// AnswerUnread records that the request on conn is answered before it was read
+// completely.
 func AnswerUnread(conn net.Conn) {
-	of, ok := conn.(*Conn)
+	c, ok := conn.(*Conn)
 	if !ok {
 		return
 	}
-	of.mu.Lock()
-	defer of.mu.Unlock()
-	of.unread = true
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.answeredUnread = true
 }
 
 // Close implements net.Conn.
 func (c *Conn) Close() error {
 	c.mu.Lock()
-	unread := c.unread
-	c.unread = false
+	answeredUnread := c.answeredUnread
+	c.answeredUnread = false
 	c.mu.Unlock()
-	if unread {
-		c.dropRest()
+	if answeredUnread {
+		c.discardUnread()
 	}
 	return c.Conn.Close()
 }
 
-// dropRest ends the sending side and reads what the caller still sends. Its
-// errors mean that there is nothing left to wait for.
-func (c *Conn) dropRest() {
+// discardUnread closes the sending side and discards what the caller still sends.
+// Errors are ignored because after one there is nothing left to wait for.
+func (c *Conn) discardUnread() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
-	if c.Conn.SetReadDeadline(time.Now().Add(unreadTime)) != nil {
+	if c.Conn.SetReadDeadline(time.Now().Add(discardTimeout)) != nil {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, c.Conn, unreadBytes)
+	_, _ = io.CopyN(io.Discard, c.Conn, maxDiscardBytes)
 }
 
 // Read implements net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	if c.hasEarly && len(p) > 0 {
-		p[0] = c.early
-		c.hasEarly = false
+	if c.hasFirstByte && len(p) > 0 {
+		p[0] = c.firstByte
+		c.hasFirstByte = false
 		c.mu.Unlock()
 		return 1, nil
 	}
@@ -104,7 +104,8 @@
 	return c.Conn.Read(p)
 }
 
-// Write implements net.Conn; a caller that has stopped reading ends it.
+// Write implements net.Conn. It fails after writeTimeout if the caller has
+// stopped reading.
 func (c *Conn) Write(p []byte) (int, error) {
 	if err := c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, errors.Wrap(err, "set write deadline")
@@ -112,12 +113,13 @@
 	return c.Conn.Write(p)
 }
 
-// Watch calls gone, once, if the caller closes its side before stop is
-// called. A caller that closes only its sending side counts as gone too, as
-// it does for other HTTP servers. Nobody may read until stop has returned.
+// Watch calls gone once if the caller closes the connection before stop is
+// called. A caller that closes only its sending side is treated as gone too, as
+// other HTTP servers do. The connection must not be read until stop has
+// returned.
 func (c *Conn) Watch(gone func()) (stop func()) {
 	c.mu.Lock()
-	watchable := !c.hasEarly
+	watchable := !c.hasFirstByte
 	c.mu.Unlock()
 	if !watchable || c.Conn.SetReadDeadline(time.Time{}) != nil {
 		return func() {}
@@ -135,12 +137,14 @@
 	}
 }
 
+// awaitByte reads one byte and keeps it for the next Read. It calls gone when the
+// read fails for another reason than its deadline.
 func (c *Conn) awaitByte(gone func()) {
 	var buffer [1]byte
 	n, err := c.Conn.Read(buffer[:])
 	if n == 1 {
 		c.mu.Lock()
-		c.early, c.hasEarly = buffer[0], true
+		c.firstByte, c.hasFirstByte = buffer[0], true
 		c.mu.Unlock()
 		return
 	}
@@ -149,15 +153,15 @@
 	}
 }
 
-// Context returns a context that ends when the caller on conn goes away.
+// Context returns a context that ends when the caller on conn disconnects.
 // release must be called before the connection is read again.
 func Context(conn net.Conn) (watched context.Context, release func()) {
 	watched, cancel := context.WithCancel(context.Background())
-	of, ok := conn.(*Conn)
+	c, ok := conn.(*Conn)
 	if !ok {
 		return watched, cancel
 	}
-	stop := of.Watch(cancel)
+	stop := c.Watch(cancel)
 	return watched, func() {
 		stop()
 		cancel()
--- a/connwatch/connwatch_test.go
+++ b/connwatch/connwatch_test.go
@@ -33,7 +33,7 @@
 	return accepted.(*Conn), callerEnd
 }
 
-func TestDepartureIsNoticed(t *testing.T) {
+func TestCallerDisconnectIsDetected(t *testing.T) {
 	watched, callerEnd := pair(t)
 	gone := make(chan struct{})
 	stop := watched.Watch(func() { close(gone) })
@@ -42,10 +42,10 @@
 	<-gone
 }
 
-func TestStayingCallerIsNotGone(t *testing.T) {
+func TestConnectedCallerIsNotGone(t *testing.T) {
 	watched, callerEnd := pair(t)
 	for range 3 {
-		stop := watched.Watch(func() { t.Error("noticed a departure that was none") })
+		stop := watched.Watch(func() { t.Error("reported a disconnect of a connected caller") })
 		stop()
 	}
 	if _, err := callerEnd.Write([]byte("next request")); err != nil {
@@ -60,12 +60,12 @@
 
 func TestPipelinedRequestIsKept(t *testing.T) {
 	watched, callerEnd := pair(t)
-	stop := watched.Watch(func() { t.Error("noticed a departure that was none") })
+	stop := watched.Watch(func() { t.Error("reported a disconnect of a connected caller") })
 	if _, err := callerEnd.Write([]byte("GET")); err != nil {
 		t.Fatal(err)
 	}
-	// The watch ends by itself once it has seen the first byte.
-	for !watched.early1() {
+	// The watch ends by itself once it has received the first byte.
+	for !watched.firstByteReceived() {
 	}
 	stop()
 	callerEnd.Close()
@@ -75,16 +75,17 @@
 	}
 }
 
-func (c *Conn) early1() bool {
+func (c *Conn) firstByteReceived() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hasEarly
+	return c.hasFirstByte
 }
 
-// A caller that was refused while it was still sending got a broken pipe in place
-// of its answer: once in a run of all tests, beside load. The close with bytes
-// unread resets the connection, and the reset drops what the caller has not read.
-func TestACallerThatStillSendsGetsItsAnswer(t *testing.T) {
+// A caller that was refused while it was still sending received a broken pipe
+// instead of its answer. Closing with unread bytes resets the connection, and the
+// reset drops what the caller has not read yet. It failed once in a run of all
+// tests on a loaded machine.
+func TestCallerThatIsStillSendingReceivesItsAnswer(t *testing.T) {
 	for range 20 {
 		watched, callerEnd := pair(t)
 		closed := make(chan struct{})
