--- a/oplog/http.go
+++ b/oplog/http.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// PathRecords is the path of the log's records.
+// PathRecords is the URL path of the log's records.
 const PathRecords = "/v1/log/records"
 
 // AppendRequest is the body of an append.
@@ -18,12 +18,12 @@
 	Data []byte `json:"data"`
 }
 
-// AppendAnswer is the answer to an append.
+// AppendAnswer is the body of the answer to an append.
 type AppendAnswer struct {
 	Offset uint64 `json:"offset"`
 }
 
-// HTTP is the Client over HTTP.
+// HTTP implements Client over HTTP.
 type HTTP struct {
 	base string
 	json *httpjson.Client
@@ -53,7 +53,7 @@
 		return Batch{}, errors.Wrap(ErrUnavailable, err.Error())
 	}
 	if status == http.StatusGone {
-		// The answer still says what is kept.
+		// The answer still contains the range of offsets that are kept.
 		if err := json.Unmarshal(raw, &batch); err != nil {
 			return Batch{}, errors.Wrap(ErrUnavailable, err.Error())
 		}
--- a/oplog/oplog.go
+++ b/oplog/oplog.go
@@ -1,5 +1,6 @@
-// Package oplog talks to the platform's append-only log. Operators' edits and
-// the system's own records live there; an offset is a record's place for ever.
+// Package oplog is the client of the platform's append-only log, which holds the
+// operators' edits and the system's own records. The offset of a record never
+// changes.
 package oplog
 
 import (
@@ -10,12 +11,13 @@
 
 var (
 	// ErrUnavailable means that the log gave no answer. An append may or may
-	// not have taken effect; a reader finds out by the record's own id.
+	// not have taken effect. A reader finds that out by the record's own id.
 	ErrUnavailable = errors.New("log unavailable")
-	// ErrTooFast means that the append was refused by the log's rate limit and
-	// took no effect.
+	// ErrTooFast means that the log's rate limit refused the append, which took
+	// no effect.
 	ErrTooFast = errors.New("log append rate exceeded")
-	// ErrTruncated means that records at the asked offset are past retention.
+	// ErrTruncated means that the records at the requested offset are past
+	// retention.
 	ErrTruncated = errors.New("log offset past retention")
 )
 
@@ -27,9 +29,9 @@
 
 // Batch is the answer to a read.
 type Batch struct {
-	// First is the lowest offset still kept.
+	// First is the lowest offset that is still kept.
 	First uint64 `json:"first"`
-	// Next is the offset that the next append will get.
+	// Next is the offset of the next append.
 	Next    uint64   `json:"next"`
 	Records []Record `json:"records"`
 }
@@ -37,7 +39,8 @@
 // Client appends to and reads from the log.
 type Client interface {
 	Append(ctx context.Context, data []byte) (offset uint64, err error)
-	// Read returns records from offset from on, at most max of them. With
-	// none to return it waits for one for a bounded time, set by the log.
+	// Read returns at most max records from offset from on. It is a long poll:
+	// while there are none, the log waits for a record for a limited time that
+	// it sets itself.
 	Read(ctx context.Context, from uint64, max int) (Batch, error)
 }
--- a/oplog/position.go
+++ b/oplog/position.go
@@ -2,30 +2,31 @@
 
 import "strconv"
 
-// Position is a place in a log of the platform's store: an offset, in one era of the
-// store. After the store has come back from an older copy it is in a later era: offsets
-// have gone back and are given out again, so an offset alone says nothing. Positions
-// compare as numbers, a later era before all offsets of an earlier one.
+// Position identifies a record in a log of the platform's store by its offset and the
+// era of the store. A store that was restored from an older copy starts a later era: it
+// reassigns offsets that were already used, so an offset alone is ambiguous. Positions
+// are compared as numbers: every position of a later era is greater than all positions
+// of an earlier one.
 type Position uint64
 
-// offsetBits leaves 24 bits for the era: 16 million times from a copy, and a hundred
-// years of 300 records a second.
+// offsetBits is the number of bits of the offset, which suffice for 300 records a
+// second for a hundred years. The other 24 bits allow 16 million eras.
 const offsetBits = 40
 
 // At returns the position of an offset in an era.
 func At(era, offset uint64) Position { return Position(era<<offsetBits | offset) }
 
-// Era returns the era of the store that the position belongs to; 0 for a store that
-// tells none.
+// Era returns the era of the store that the position belongs to. It is 0 for a store
+// that reports no era.
 func (p Position) Era() uint64 { return uint64(p) >> offsetBits }
 
 // Offset returns the offset in the position's era.
 func (p Position) Offset() uint64 { return uint64(p) & (1<<offsetBits - 1) }
 
-// Add returns the position so many records further on.
+// Add returns the position that is records later in the same era.
 func (p Position) Add(records int) Position { return p + Position(records) }
 
-// String writes an era, if there is one, and the offset.
+// String returns the offset, preceded by the era and a colon if the era is not 0.
 func (p Position) String() string {
 	offset := strconv.FormatUint(p.Offset(), 10)
 	if p.Era() == 0 {
