--- a/instancelist/http.go
+++ b/instancelist/http.go
@@ -9,13 +9,13 @@
 	"github.com/pkg/errors"
 )
 
-// Paths of the list.
+// URL paths of the instance list.
 const (
 	PathInstances = "/v1/instances"
 	PathZones     = "/v1/zones"
 )
 
-// HTTP is the Client over HTTP.
+// HTTP implements Client over HTTP.
 type HTTP struct {
 	base string
 	json *httpjson.Client
@@ -40,8 +40,8 @@
 	return zones, err
 }
 
-func (h *HTTP) get(ctx context.Context, path string, into any) error {
-	status, _, err := h.json.Do(ctx, http.MethodGet, h.base+path, nil, into)
+func (h *HTTP) get(ctx context.Context, path string, result any) error {
+	status, _, err := h.json.Do(ctx, http.MethodGet, h.base+path, nil, result)
 	if err != nil {
 		return errors.WithMessage(err, "read instance list")
 	}
--- a/instancelist/instancelist.go
+++ b/instancelist/instancelist.go
@@ -1,10 +1,10 @@
-// Package instancelist talks to the platform's list of instances, which shows
-// live and leaving instances with a lag.
+// Package instancelist is the client of the platform's list of instances, which
+// shows live and draining instances with a delay.
 package instancelist
 
 import "context"
 
-// State is what the platform says of an instance.
+// State is the state of an instance as the platform lists it.
 type State string
 
 const (
@@ -12,7 +12,7 @@
 	Leaving State = "leaving"
 )
 
-// Entry is one instance on the list.
+// Entry is one instance in the list.
 type Entry struct {
 	Name string `json:"name"`
 	// Zone is the availability zone.
@@ -22,9 +22,10 @@
 	State State  `json:"state"`
 }
 
-// Client reads the list.
+// Client reads the instance list.
 type Client interface {
-	// List returns the instances of an availability zone, or of all for "".
+	// List returns the instances of an availability zone, or of all zones if
+	// zone is empty.
 	List(ctx context.Context, zone string) ([]Entry, error)
 	// Zones returns the availability zones that have instances.
 	Zones(ctx context.Context) ([]string, error)
