--- a/weightstore/weightstore.go
+++ b/weightstore/weightstore.go
@@ -1,5 +1,5 @@
-// Package weightstore talks to the platform's store of model weights, which
-// is rate-limited: what one reader takes, another lacks.
+// Package weightstore is the client of the platform's store of model weights.
+// The store has one rate limit that all its readers share.
 package weightstore
 
 import (
@@ -16,36 +16,36 @@
 var (
 	// ErrUnavailable means that the store gave no answer.
 	ErrUnavailable = errors.New("weight store unavailable")
-	// ErrBusy means that the store's rate is used up for the moment.
+	// ErrBusy means that the store's rate limit is exhausted for now.
 	ErrBusy = errors.New("weight store rate exceeded")
-	// ErrUnknown means that the store has no weights of that name.
+	// ErrUnknown means that the store has no weights with the requested name.
 	ErrUnknown = errors.New("no such weights")
 )
 
 // Weights describes one version of a model's weights or of an adapter.
 type Weights struct {
 	Name string `json:"name"`
-	// Bytes is the whole size.
+	// Bytes is the total size.
 	Bytes int64 `json:"bytes"`
 }
 
-// Ticket allows one fetch of a whole set of weights.
+// Ticket allows one fetch of a full set of weights.
 type Ticket struct {
 	Weights
-	// BytesPerSecond is the rate that the store grants the fetch.
+	// BytesPerSecond is the rate that the store grants to the fetch.
 	BytesPerSecond int64 `json:"bytes_per_second"`
 }
 
-// Client asks the store for leave to fetch. The fetch itself is the engine's.
+// Client requests permission to fetch weights. The engine does the fetch itself.
 type Client interface {
-	// Reserve asks for a rate, in bytes a second, to fetch weights with.
+	// Reserve requests a rate, in bytes per second, for a fetch of weights.
 	Reserve(ctx context.Context, name string, bytesPerSecond int64) (Ticket, error)
 }
 
-// PathWeights is the path of the store's weights.
+// PathWeights is the URL path of the store's weights.
 const PathWeights = "/v1/weights/"
 
-// HTTP is the Client over HTTP.
+// HTTP implements Client over HTTP.
 type HTTP struct {
 	base string
 	json *httpjson.Client
