--- a/httpjson/httpjson.go
+++ b/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package httpjson sends one JSON request over HTTP with a deadline. The
-// clients of the platform and of operators share it.
+// Package httpjson sends JSON requests over HTTP with a deadline. The clients
+// of the platform's services and the operators' tools use it.
 package httpjson
 
 import (
@@ -11,10 +11,11 @@
 	"github.com/valyala/fasthttp"
 )
 
-// DefaultTimeout bounds a call whose context has no deadline.
+// DefaultTimeout limits a call whose context has no deadline.
 const DefaultTimeout = 5 * time.Second
 
-// ErrNoAnswer means that no answer came back; the call may have taken effect.
+// ErrNoAnswer means that no answer was received. The call may have taken
+// effect.
 var ErrNoAnswer = errors.New("no answer")
 
 // Client sends JSON requests. Its zero value is not usable; call New.
@@ -23,7 +24,7 @@
 	token string
 }
 
-// New returns a client that sends token, if not empty, as a bearer token.
+// New returns a client that sends token as a bearer token if it is not empty.
 func New(token string) *Client {
 	return &Client{
 		http:  &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true},
@@ -31,8 +32,8 @@
 	}
 }
 
-// Do sends body, if not nil, as JSON and decodes a 2xx answer into result.
-// Any other status is returned with the answer's body and no error.
+// Do sends body as JSON, if it is not nil, and decodes the body of a 2xx answer
+// into result. Any other status is returned with the answer's body and no error.
 func (c *Client) Do(ctx context.Context, method, url string, body, result any) (status int, raw []byte, err error) {
 	request := fasthttp.AcquireRequest()
 	response := fasthttp.AcquireResponse()
@@ -69,5 +70,5 @@
 	return status, raw, nil
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
