--- a/reason/reason.go
+++ b/reason/reason.go
@@ -1,9 +1,9 @@
 package reason
 
-// Reason names why a request was refused, retried, cancelled or lost.
+// Reason is why a request was refused, retried, cancelled or lost.
 type Reason string
 
-// Refusals: the request did not run.
+// Reasons of refusals. The request did not run.
 const (
 	None             Reason = ""
 	Malformed        Reason = "malformed"
@@ -24,8 +24,8 @@
 	Stopping         Reason = "stopping"
 	UnknownKey       Reason = "unknown_key"
 	OverAllotment    Reason = "over_allotment"
-	// CrashesServers and ProbeUnderWay refuse this attempt; earlier ones of the same
-	// request have run.
+	// CrashesServers and ProbeUnderWay refuse only this attempt. Earlier attempts of
+	// the same request have run.
 	CrashesServers Reason = "crashes_servers"
 	ProbeUnderWay  Reason = "probe_under_way"
 	ServersLimited Reason = "servers_limited"
@@ -34,7 +34,7 @@
 	OutsideRegions Reason = "outside_regions"
 )
 
-// Retries: an attempt was abandoned and the next one took its place.
+// Reasons of retries. An attempt was abandoned and another one followed.
 const (
 	ReserveRefused   Reason = "reserve_refused"
 	StewardUnreached Reason = "steward_unreached"
@@ -54,7 +54,7 @@
 	EngineLeaving    Reason = "engine_leaving"
 )
 
-// Other endings of a request or of an attempt.
+// Reasons of other ends of a request or of an attempt.
 const (
 	CallerGone      Reason = "caller_gone"
 	AnswerLost      Reason = "answer_lost"
@@ -67,11 +67,12 @@
 type Info struct {
 	Reason  Reason
 	Meaning string
-	// Cell is the table cell, or the settings key, that governs the reason.
+	// Cell is the table cell or the settings key that sets the limit behind the
+	// reason.
 	Cell string
 }
 
-// All lists every reason with its meaning, in the order of the pages.
+// All lists every reason with its meaning, in the order of the operators' page.
 var All = []Info{
 	{Malformed, "the request could not be read", "none"},
 	{TooLarge, "the request is larger than limits.max_body_bytes", "limits.max_body_bytes (settings)"},
--- a/reason/reason_test.go
+++ b/reason/reason_test.go
@@ -13,8 +13,8 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// The operators' page lists exactly the reasons in All.
-func TestPage(t *testing.T) {
+// The operators' page must list exactly the reasons in All.
+func TestOperatorsPageListsAllReasons(t *testing.T) {
 	var page strings.Builder
 	page.WriteString("# Reasons\n\nEach is counted in `mastwheel_refusals_total`, `mastwheel_retries_total` or\n")
 	page.WriteString("`mastwheel_dropped_answers_total` under the label `reason`.\n\n")
@@ -26,8 +26,8 @@
 		Assert(t, "reasons", []byte(page.String()))
 }
 
-// Every reason in the code is in All, once.
-func TestAllIsWhole(t *testing.T) {
+// Every reason constant must be in All exactly once.
+func TestAllContainsEveryReasonOnce(t *testing.T) {
 	listed := make(map[Reason]int)
 	for _, info := range All {
 		listed[info.Reason]++
