--- a/cell/cell.go
+++ b/cell/cell.go
@@ -1,7 +1,7 @@
-// Package cell divides the instances of a region into cells: groups small
-// enough for everybody in one to know everybody else. It does no I/O; every
-// instance that sees the same list reaches the same division, and while lists
-// differ for a moment, cells overlap and nothing worse.
+// Package cell divides the instances of a region into cells. A cell is a group
+// that is small enough for each instance to know all others. The package does no
+// I/O. Instances with the same list compute the same cells. While their lists
+// differ for a moment, cells overlap, which does no other harm.
 package cell
 
 import (
@@ -11,32 +11,33 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// Whole is the cell of a region that needs no division.
+// Whole is the name of the only cell of a region that isn't divided.
 const Whole = "region"
 
 // Config sets the size of cells.
 type Config struct {
-	// Most is how many instances a region may have and still be one cell.
-	// Larger pools more workers under the same stewards; heartbeats grow with
-	// the square of it.
+	// Most is the maximum number of instances of a region that is one cell.
+	// With a larger value the same stewards serve more backend servers, but the
+	// heartbeat traffic grows with its square.
 	Most int
 	// Mean is the mean size of the cells of a larger region. Cells differ in
 	// size, so it must be well below Most.
 	Mean int
-	// Contacts is how many instances of each other zone an instance keeps up
-	// with, for witnesses and for callers of those zones.
+	// Contacts is the number of instances in each other zone with which an
+	// instance stays in contact, for witnesses and for callers of those zones.
 	Contacts int
 }
 
-// DefaultConfig keeps heartbeats within 20 KB a second (docs/CAPACITY.md).
+// DefaultConfig returns sizes that keep heartbeats within 20 KB a second
+// (docs/CAPACITY.md).
 func DefaultConfig() Config { return Config{Most: 24, Mean: 16, Contacts: 2} }
 
-// Count returns the number of cells of a zone with that many instances.
+// Count returns the number of cells of a zone with the given number of instances.
 func (c Config) Count(instances int) int { return max(1, (instances+c.Mean-1)/c.Mean) }
 
-// Of returns the cell of a name, an instance or a worker, in a zone with that
-// many cells. When the number of cells changes by one, only the names of one
-// cell's worth move.
+// Of returns the cell of an instance or a backend server by its name, in a zone
+// with the given number of cells. When the number of cells changes by one, only
+// about as many names move as one cell has.
 func Of(name, zone string, cells int) string {
 	ids := make([]string, cells)
 	for i := range ids {
@@ -45,15 +46,16 @@
 	return route.Owner(name, ids)
 }
 
-// Contacts chooses n of the names to keep up with, by rendezvous hashing with
-// the chooser's own name, so that each is chosen by about as many.
+// Contacts selects n of names to stay in contact with. It uses rendezvous hashing
+// with the instance's own name, so that each name is selected by about the same
+// number of instances.
 func Contacts(self string, names []string, n int) []string {
-	rest := slices.Clone(names)
-	var chosen []string
-	for len(chosen) < n && len(rest) > 0 {
-		next := route.Owner(self, rest)
-		chosen = append(chosen, next)
-		rest = slices.DeleteFunc(rest, func(name string) bool { return name == next })
+	remaining := slices.Clone(names)
+	var selected []string
+	for len(selected) < n && len(remaining) > 0 {
+		next := route.Owner(self, remaining)
+		selected = append(selected, next)
+		remaining = slices.DeleteFunc(remaining, func(name string) bool { return name == next })
 	}
-	return chosen
+	return selected
 }
