--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,8 +1,9 @@
-// Package clock tells the time with suspension counted. While the machine of an instance
-// is suspended, Go's clock and all timers stand still, and the rest of the system goes
-// on: after five seconds of it a lease still seemed to hold, a list of servers to be
-// fresh and a caller to be waiting. Ages, leases, deadlines and silences are taken from
-// here, and from nowhere else; what is only a pause may be a timer.
+// Package clock provides a clock that includes the time for which the machine was
+// suspended. During a suspension Go's monotonic clock and all timers stop while the rest
+// of the system continues. After a suspension of five seconds an expired lease looked
+// valid, an outdated list of servers looked fresh, and a caller that had given up seemed
+// to be waiting. Ages, leases, deadlines and times of silence must be computed with this
+// package only. A plain timer may be used for a delay without such a meaning.
 package clock
 
 import (
@@ -15,109 +16,113 @@
 )
 
 const (
-	// resolution is the least suspension that counts: the two clocks of the system are
-	// read one after the other.
-	resolution = 20 * time.Millisecond
-	// rereadAfter is how long a reading of the system's clocks holds. Each takes two
-	// calls of the system, and a request some thirty readings.
-	rereadAfter = 2 * time.Millisecond
+	// minSuspension is the shortest suspension that is counted. Shorter differences can
+	// result from reading the two system clocks one after the other.
+	minSuspension = 20 * time.Millisecond
+	// maxReadingAge is the time for which a reading of the system clocks is reused. A
+	// reading takes two system calls, and a request needs the time some thirty times.
+	maxReadingAge = 2 * time.Millisecond
 )
 
 var (
-	// epoch anchors a monotonic clock that fits into an atomic.
+	// epoch is the zero of a monotonic clock in nanoseconds that fits into an atomic.
 	epoch = time.Now()
-	// atStart is what the two clocks of the system were apart when the process started.
-	atStart = apart()
-	// suspended is for how long the process has been suspended, in nanoseconds, as read
-	// at readAt on the clock of epoch.
+	// initialOffset is the difference of the two system clocks at the start of the process.
+	initialOffset = suspensionOffset()
+	// suspended is the total time for which the process was suspended, in nanoseconds.
+	// readAt is the time of that reading, in nanoseconds since epoch.
 	suspended, readAt atomic.Int64
-	// simulated is added by Suspend.
+	// simulated is the total time added by Suspend, in nanoseconds.
 	simulated atomic.Int64
 )
 
-// apart is by how much the clock that counts suspension is ahead of the one that does
-// not (clock_gettime(2)). A system without the former counts none.
-func apart() time.Duration {
-	var boot, steady unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
+// suspensionOffset returns how far CLOCK_BOOTTIME, which includes suspension, is ahead of
+// CLOCK_MONOTONIC, which doesn't (see clock_gettime(2)). It returns 0 if a clock is
+// not available, so that no suspension is counted.
+func suspensionOffset() time.Duration {
+	var boot, monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
 		return 0
 	}
-	return time.Duration(boot.Nano() - steady.Nano())
+	return time.Duration(boot.Nano() - monotonic.Nano())
 }
 
-// Now returns the time. Its difference to other times of this package counts suspension,
-// and a step of the time of day does not change it.
+// Now returns the current time. Its difference to other times of this package includes
+// suspension and is not affected by changes of the wall clock.
 func Now() time.Time {
 	now := time.Now()
-	return now.Add(lost(now))
+	return now.Add(suspendedAt(now))
 }
 
-// Since returns the time since a time of this package.
+// Since returns the time elapsed since at, which must be a time of this package.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
 
-// Until returns the time until a time of this package.
+// Until returns the time until at, which must be a time of this package.
 func Until(at time.Time) time.Duration { return at.Sub(Now()) }
 
-// Suspended returns for how long the process has been suspended since it started.
-func Suspended() time.Duration { return lost(time.Now()) }
+// Suspended returns the total time for which the process was suspended since its start.
+func Suspended() time.Duration { return suspendedAt(time.Now()) }
 
-// lost is Suspended at a reading of Go's clock.
-func lost(now time.Time) time.Duration {
+// suspendedAt returns the total suspension at now, a reading of Go's clock.
+func suspendedAt(now time.Time) time.Duration {
 	elapsed := int64(now.Sub(epoch))
-	if since := elapsed - readAt.Load(); since < 0 || since >= int64(rereadAfter) {
-		reread()
+	if since := elapsed - readAt.Load(); since < 0 || since >= int64(maxReadingAge) {
+		updateSuspended()
 		readAt.Store(elapsed)
 	}
 	return time.Duration(suspended.Load() + simulated.Load())
 }
 
-func reread() {
-	read := int64(apart() - atStart)
-	for before := suspended.Load(); read-before >= int64(resolution); before = suspended.Load() {
+// updateSuspended updates suspended from the system clocks. It ignores increases of less than
+// minSuspension.
+func updateSuspended() {
+	read := int64(suspensionOffset() - initialOffset)
+	for before := suspended.Load(); read-before >= int64(minSuspension); before = suspended.Load() {
 		if suspended.CompareAndSwap(before, read) {
 			return
 		}
 	}
 }
 
-// Suspend has the clock go on as after a suspension of that length, for tests and trials.
-func Suspend(lasts time.Duration) { simulated.Add(int64(lasts)) }
+// Suspend advances the clock as a suspension would do. It is for tests and trials.
+func Suspend(duration time.Duration) { simulated.Add(int64(duration)) }
 
-// deadlines are those of contexts that have not ended.
+// deadlines holds the deadlines of the contexts of WithDeadline that have not ended,
+// with their cancel functions.
 var deadlines = struct {
 	sync.Mutex
 	cancel map[*deadline]context.CancelFunc
 }{cancel: make(map[*deadline]context.CancelFunc)}
 
-// deadline is that of one context.
+// deadline is the deadline of one context. Its address identifies the context.
 type deadline struct{ at time.Time }
 
-// WithDeadline is as that of package context, for a time of this package. A timer alone
-// would end it later by what it was suspended for; Check does not.
+// WithDeadline is like context.WithDeadline, for a time of this package. Its timer stops
+// during a suspension and would end the context too late. Check ends it in time.
 func WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(parent, Until(at))
-	one := &deadline{at: at}
+	entry := &deadline{at: at}
 	deadlines.Lock()
 	defer deadlines.Unlock()
-	deadlines.cancel[one] = cancel
+	deadlines.cancel[entry] = cancel
 	return ctx, func() {
 		cancel()
 		deadlines.Lock()
 		defer deadlines.Unlock()
-		delete(deadlines.cancel, one)
+		delete(deadlines.cancel, entry)
 	}
 }
 
-// Check ends the contexts whose deadline has passed during a suspension. It is to be
-// called several times a second.
+// Check ends the contexts whose deadline passed during a suspension. It must be called
+// several times a second.
 func Check() {
 	now := Now()
 	deadlines.Lock()
 	var passed []context.CancelFunc
-	for one, cancel := range deadlines.cancel {
-		if !now.Before(one.at) {
+	for entry, cancel := range deadlines.cancel {
+		if !now.Before(entry.at) {
 			passed = append(passed, cancel)
-			delete(deadlines.cancel, one)
+			delete(deadlines.cancel, entry)
 		}
 	}
 	deadlines.Unlock()
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestSuspensionCounts(t *testing.T) {
+func TestSuspensionIsIncluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := Now()
 		time.Sleep(time.Second)
@@ -22,7 +22,7 @@
 	})
 }
 
-func TestADeadlineThatPassedDuringASuspensionEndsItsContext(t *testing.T) {
+func TestDeadlineThatPassedDuringSuspensionEndsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		short, cancelShort := WithDeadline(context.Background(), Now().Add(3*time.Second))
 		long, cancelLong := WithDeadline(context.Background(), Now().Add(10*time.Second))
@@ -30,7 +30,7 @@
 		defer cancelLong()
 		Check()
 		if short.Err() != nil {
-			t.Error("it ended before its time")
+			t.Error("the context ended before its deadline")
 		}
 		Suspend(5 * time.Second)
 		Check()
@@ -40,17 +40,17 @@
 		ended, cancel := WithDeadline(context.Background(), Now().Add(-time.Second))
 		defer cancel()
 		if ended.Err() == nil {
-			t.Error("a deadline in the past has not passed")
+			t.Error("the context of a deadline in the past has not ended")
 		}
 	})
 	if left := len(deadlines.cancel); left > 0 {
-		t.Errorf("%d contexts are remembered", left)
+		t.Errorf("%d ended contexts are still registered", left)
 	}
 }
 
-func TestTheSystemsClocksAreRead(t *testing.T) {
-	if apart() < -resolution {
-		t.Errorf("the clock that counts suspension is %v behind", apart())
+func TestSystemClocksAreRead(t *testing.T) {
+	if suspensionOffset() < -minSuspension {
+		t.Errorf("the clock that counts suspension is %v behind", suspensionOffset())
 	}
 	before := Now()
 	if after := Now(); after.Before(before) || after.Sub(before) > time.Minute {
