--- a/wait/wait.go
+++ b/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the one way to sleep that a context can end.
+// Package wait provides sleeps that a context can interrupt.
 package wait
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/mastwheel/mastwheel/clock"
 )
 
-// For sleeps for d. It returns false when ctx ended first.
+// For sleeps for d. It returns false if ctx ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -20,5 +20,6 @@
 	}
 }
 
-// Until sleeps until a moment. It returns false when ctx ended first.
+// Until sleeps until at, a time of package clock. It returns false if ctx ended
+// first.
 func Until(ctx context.Context, at time.Time) bool { return For(ctx, clock.Until(at)) }
