--- a/trace/trace.go
+++ b/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace keeps the recent requests of one instance with every decision
-// taken for them, in bounded memory, for operators to look at.
+// Package trace records the recent requests of one instance with all decisions
+// made for them, for operators to inspect. Its memory is bounded.
 package trace
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// Step is one thing that happened to a request.
+// Step is one event in the handling of a request.
 type Step struct {
 	// At is the time since the request arrived, in microseconds.
 	At      int64           `json:"at_us"`
@@ -22,7 +22,7 @@
 	Choice  *route.Decision `json:"choice,omitempty"`
 }
 
-// Request is the record of one request.
+// Request is the trace of one request.
 type Request struct {
 	ID       string         `json:"id"`
 	Service  string         `json:"service"`
@@ -37,13 +37,14 @@
 	Steps    []Step         `json:"steps"`
 }
 
-// Add appends a step at now.
+// Add appends a step that happened at now.
 func (r *Request) Add(now time.Time, step Step) {
 	step.At = now.Sub(r.Arrived).Microseconds()
 	r.Steps = append(r.Steps, step)
 }
 
-// Ring keeps the last requests that ended. Safe for concurrent use.
+// Ring is a ring buffer of the latest requests that ended. It is safe for
+// concurrent use.
 type Ring struct {
 	mu    sync.Mutex
 	slots []*Request
@@ -51,12 +52,13 @@
 	byID  map[string]*Request
 }
 
-// NewRing returns a ring of that many requests.
+// NewRing returns a ring for at most size requests.
 func NewRing(size int) *Ring {
 	return &Ring{slots: make([]*Request, size), byID: make(map[string]*Request, size)}
 }
 
-// Keep stores a request that has ended; nobody may change it afterwards.
+// Keep stores a request that has ended. The request must not be changed
+// afterwards.
 func (r *Ring) Keep(request *Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +70,7 @@
 	r.next = (r.next + 1) % len(r.slots)
 }
 
-// Find returns the request of that id, or nil.
+// Find returns the request with an id, or nil if it is not kept.
 func (r *Ring) Find(id string) *Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
