--- a/logging/limit.go
+++ b/logging/limit.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// Limit bounds how often something is logged. Call NewLimit.
+// Limit is a token bucket that limits how often something is logged. Call
+// NewLimit to create one.
 type Limit struct {
 	mu sync.Mutex
-	// perSecond fills credit, up to burst.
+	// perSecond is the rate at which tokens are added, up to burst.
 	perSecond float64
 	burst     float64
-	credit    float64
-	filled    time.Time
+	tokens    float64
+	refilled  time.Time
 }
 
-// NewLimit returns a limit of that many a second in the mean, and of burst at
-// once.
+// NewLimit returns a limit of perSecond log entries a second on average, and of
+// burst entries at once.
 func NewLimit(perSecond, burst float64, now time.Time) *Limit {
-	return &Limit{perSecond: perSecond, burst: burst, credit: burst, filled: now}
+	return &Limit{perSecond: perSecond, burst: burst, tokens: burst, refilled: now}
 }
 
-// Allow says whether one more may be logged at now.
+// Allow reports whether one more entry may be logged at now, and counts it.
 func (l *Limit) Allow(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if passed := now.Sub(l.filled); passed > 0 {
-		l.credit = min(l.credit+passed.Seconds()*l.perSecond, l.burst)
-		l.filled = now
+	if passed := now.Sub(l.refilled); passed > 0 {
+		l.tokens = min(l.tokens+passed.Seconds()*l.perSecond, l.burst)
+		l.refilled = now
 	}
-	if l.credit < 1 {
+	if l.tokens < 1 {
 		return false
 	}
-	l.credit--
+	l.tokens--
 	return true
 }
