--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics holds the counters that one instance exports.
+// Package metrics defines the Prometheus metrics of an instance.
 package metrics
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// Labels.
+// Names of labels.
 const (
 	labelService = "service"
 	labelOutcome = "outcome"
@@ -18,62 +18,63 @@
 	labelTeam    = "team"
 )
 
-// Set is the metrics of one instance, on a registry of its own so that
-// several instances fit into one process.
+// Set is the metrics of one instance. It has its own registry, so that several
+// instances can run in one process.
 type Set struct {
-	Registry *prometheus.Registry
-	requests *prometheus.CounterVec
-	teams    *teamCounters
-	refusals *prometheus.CounterVec
-	retries  *prometheus.CounterVec
-	dropped  *prometheus.CounterVec
-	kept     *prometheus.CounterVec
-	stored   *prometheus.CounterVec
-	ends     *prometheus.CounterVec
-	withheld prometheus.Counter
-	took     *prometheus.HistogramVec
+	Registry       *prometheus.Registry
+	requests       *prometheus.CounterVec
+	teams          *teamCounters
+	refusals       *prometheus.CounterVec
+	retries        *prometheus.CounterVec
+	dropped        *prometheus.CounterVec
+	notReturned    *prometheus.CounterVec
+	storeCalls     *prometheus.CounterVec
+	serverExits    *prometheus.CounterVec
+	withheld       prometheus.Counter
+	requestSeconds *prometheus.HistogramVec
 	// FirstToken and BetweenTokens are in seconds.
 	FirstToken    *prometheus.HistogramVec
 	BetweenTokens *prometheus.HistogramVec
 	// CancelsPending counts attempts whose cancel no engine has confirmed.
 	CancelsPending prometheus.Gauge
-	// CancelTries counts cancel orders sent, repeats included.
+	// CancelTries counts the cancel orders that were sent, including
+	// repetitions.
 	CancelTries prometheus.Counter
-	// Orphans counts streams of dead homes that this instance cancelled.
+	// Orphans counts the streams of dead homes that this instance cancelled.
 	Orphans prometheus.Counter
 }
 
-// firstTokenBuckets surround the first-token target of 1.1 s.
+// firstTokenBuckets are buckets around the first-token target of 1.1 s.
 var firstTokenBuckets = []float64{0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 1.1, 1.3, 1.6, 2, 3, 5}
 
-// betweenBuckets surround the between-token target of 41 ms.
-var betweenBuckets = []float64{0.01, 0.02, 0.03, 0.035, 0.041, 0.05, 0.07, 0.1, 0.2, 0.5}
+// betweenTokensBuckets are buckets around the between-token target of 41 ms.
+var betweenTokensBuckets = []float64{0.01, 0.02, 0.03, 0.035, 0.041, 0.05, 0.07, 0.1, 0.2, 0.5}
 
-// tookBuckets reach from a quick refusal to the longest stream.
-var tookBuckets = []float64{0.005, 0.02, 0.06, 0.12, 0.25, 0.5, 1, 2, 4, 8, 15}
+// requestBuckets are buckets from a quick refusal to the longest stream.
+var requestBuckets = []float64{0.005, 0.02, 0.06, 0.12, 0.25, 0.5, 1, 2, 4, 8, 15}
 
-// New returns the metrics of one instance. Every reason's series exists from
-// the start, so that a rate over it is never missing.
+// New returns the metrics of one instance. The series of all reasons exist from
+// the start, so that a rate over them is never missing.
 func New() *Set {
 	s := &Set{
-		Registry: prometheus.NewRegistry(),
-		requests: counters("requests_total", "Requests that ended, by outcome.", labelService, labelOutcome),
-		teams:    newTeamCounters(),
-		refusals: counters("refusals_total", "Requests that ended other than done, by reason.", labelReason),
-		retries:  counters("retries_total", "Attempts that were followed by another, by reason.", labelReason),
-		ends:     counters("server_ends_total", "Backend servers that were found to have ended with requests of this instance running, by service.", labelService),
-		withheld: counter("log_requests_withheld_total", "Requests that were not logged, for the limit of log lines."),
-		stored:   counters("store_calls_total", "Calls to the platform's store, by kind of call and outcome.", labelCall, labelOutcome),
-		kept:     counters("not_returned_total", "Things taken at backend servers that could not be given back, and lapsed.", "what"),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "request_seconds", Help: "Time from a request's arrival to its end.", Buckets: tookBuckets,
+		Registry:    prometheus.NewRegistry(),
+		requests:    counters("requests_total", "Requests that ended, by outcome.", labelService, labelOutcome),
+		teams:       newTeamCounters(),
+		refusals:    counters("refusals_total", "Requests that ended with another outcome than done, by reason.", labelReason),
+		retries:     counters("retries_total", "Attempts that were followed by another, by reason.", labelReason),
+		serverExits: counters("server_ends_total", "Backend servers whose process was found to have exited while running requests of this instance, by service.", labelService),
+		withheld:    counter("log_requests_withheld_total", "Requests that were not logged because of the limit of log lines."),
+		storeCalls:  counters("store_calls_total", "Calls to the platform's store, by kind of call and outcome.", labelCall, labelOutcome),
+		notReturned: counters("not_returned_total", "Resources at backend servers that could not be released and expired, by kind.", "what"),
+		requestSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Namespace: namespace, Name: "request_seconds", Help: "Time from a request's arrival to its end.", Buckets: requestBuckets,
 		}, []string{labelService}),
 		dropped: counters("dropped_answers_total", "Answers and tokens that were dropped, by reason.", labelReason),
 		FirstToken: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "first_token_seconds", Help: "Time to the first token.", Buckets: firstTokenBuckets,
 		}, []string{labelService}),
 		BetweenTokens: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "between_tokens_seconds", Help: "Mean time between tokens of one answer.", Buckets: betweenBuckets,
+			Namespace: namespace, Name: "between_tokens_seconds", Help: "Mean time between tokens of one answer.", Buckets: betweenTokensBuckets,
 		}, []string{labelService}),
 		CancelsPending: prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "cancels_pending", Help: "Attempts whose cancel is not yet confirmed.",
@@ -81,7 +82,7 @@
 		CancelTries: counter("cancel_tries_total", "Cancel orders sent."),
 		Orphans:     counter("orphans_cancelled_total", "Streams of dead homes that were cancelled."),
 	}
-	s.Registry.MustRegister(s.requests, s.teams.requests, s.teams.refusals, s.refusals, s.retries, s.dropped, s.kept, s.stored, s.ends, s.withheld, s.took, s.FirstToken, s.BetweenTokens,
+	s.Registry.MustRegister(s.requests, s.teams.requests, s.teams.refusals, s.refusals, s.retries, s.dropped, s.notReturned, s.storeCalls, s.serverExits, s.withheld, s.requestSeconds, s.FirstToken, s.BetweenTokens,
 		s.CancelsPending, s.CancelTries, s.Orphans)
 	for _, info := range reason.All {
 		s.refusals.WithLabelValues(string(info.Reason))
@@ -100,7 +101,7 @@
 	return prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help})
 }
 
-// Ended counts a request that ended.
+// Ended counts a request that ended, with its outcome and reason.
 func (s *Set) Ended(service string, outcome reason.Outcome, why reason.Reason) {
 	s.requests.WithLabelValues(service, string(outcome)).Inc()
 	if outcome != reason.Done {
@@ -111,41 +112,42 @@
 // Retried counts an attempt that was followed by another.
 func (s *Set) Retried(why reason.Reason) { s.retries.WithLabelValues(string(why)).Inc() }
 
-// Dropped counts an answer or token that was not passed on.
+// Dropped counts an answer or a token that was dropped.
 func (s *Set) Dropped(why reason.Reason) { s.dropped.WithLabelValues(string(why)).Inc() }
 
-// NotReturned counts something taken at a backend server that could not be
-// given back.
-func (s *Set) NotReturned(what string) { s.kept.WithLabelValues(what).Inc() }
+// NotReturned counts a reservation or another resource at a backend server that
+// could not be released. The label what is its kind.
+func (s *Set) NotReturned(what string) { s.notReturned.WithLabelValues(what).Inc() }
 
 // StoreCalled counts a call to the platform's store.
-func (s *Set) StoreCalled(call, outcome string) { s.stored.WithLabelValues(call, outcome).Inc() }
+func (s *Set) StoreCalled(call, outcome string) { s.storeCalls.WithLabelValues(call, outcome).Inc() }
 
-// ServerEnded counts a server that ended with requests running.
-func (s *Set) ServerEnded(service string) { s.ends.WithLabelValues(service).Inc() }
+// ServerEnded counts a backend server whose process exited while it ran requests
+// of this instance.
+func (s *Set) ServerEnded(service string) { s.serverExits.WithLabelValues(service).Inc() }
 
-// Withheld counts a request that was not logged.
+// Withheld counts a request that was not logged because of the limit of log lines.
 func (s *Set) Withheld() { s.withheld.Inc() }
 
-// Watch exports a figure that is read when the metrics are.
+// Watch registers a gauge whose value is read at each scrape.
 func (s *Set) Watch(name, help string, read func() float64) {
 	s.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Took measures a request from its arrival to its end.
-func (s *Set) Took(service string, took time.Duration) {
-	s.took.WithLabelValues(service).Observe(took.Seconds())
+// Took records the duration of a request from its arrival to its end.
+func (s *Set) Took(service string, elapsed time.Duration) {
+	s.requestSeconds.WithLabelValues(service).Observe(elapsed.Seconds())
 }
 
-// CountStrangers exports the number of sibling connections that were refused
-// for want of a valid key.
+// CountStrangers registers a counter of the sibling connections that were rejected
+// because the client had no valid certificate.
 func (s *Set) CountStrangers(count func() int64) {
 	s.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
-		Namespace: namespace, Name: "peer_strangers_total", Help: "Sibling connections refused for want of a valid key.",
+		Namespace: namespace, Name: "peer_strangers_total", Help: "Sibling connections rejected because the client had no valid certificate.",
 	}, func() float64 { return float64(count()) }))
 }
 
-// Count exports a count that is read when the metrics are.
+// Count registers a counter whose value is read at each scrape.
 func (s *Set) Count(name, help string, read func() float64) {
 	s.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
--- a/metrics/teams.go
+++ b/metrics/teams.go
@@ -10,19 +10,21 @@
 )
 
 const (
-	// teamsCounted is how many teams have series of their own; the requests of further ones
-	// are counted together. Each has a series for each outcome and for each reason for which
-	// its requests were refused: with 15,000 teams they would be some 100,000 an instance.
-	teamsCounted = 64
-	// otherTeams stands for all further teams.
+	// maxTeamSeries is the number of teams with their own series. The requests of all
+	// other teams are counted together. A team has a series for each outcome and for
+	// each reason of its refusals, so 15,000 teams would have some 100,000 series on
+	// each instance.
+	maxTeamSeries = 64
+	// otherTeams is the label value of all other teams.
 	otherTeams = "(others)"
 )
 
-// teamCounters counts requests by team, of so many teams as have asked first.
+// teamCounters counts requests by team. The first teams that send requests have
+// their own series.
 type teamCounters struct {
 	requests *prometheus.CounterVec
 	refusals *prometheus.CounterVec
-	// named holds the teams that have series of their own; count is how many.
+	// named holds the teams with their own series. count is their number.
 	named sync.Map
 	count atomic.Int64
 }
@@ -30,26 +32,26 @@
 func newTeamCounters() *teamCounters {
 	return &teamCounters{
 		requests: counters("team_requests_total", "Requests that ended, by team and outcome.", labelTeam, labelOutcome),
-		refusals: counters("team_refusals_total", "Requests that ended other than done, by team and reason.", labelTeam, labelReason),
+		refusals: counters("team_refusals_total", "Requests that ended with another outcome than done, by team and reason.", labelTeam, labelReason),
 	}
 }
 
-// label is the name under which a team is counted.
+// label returns the label value under which a team is counted.
 func (t *teamCounters) label(team string) string {
 	if _, known := t.named.Load(team); known {
 		return team
 	}
-	if t.count.Load() >= teamsCounted {
+	if t.count.Load() >= maxTeamSeries {
 		return otherTeams
 	}
-	if _, known := t.named.LoadOrStore(team, true); !known && t.count.Add(1) > teamsCounted {
+	if _, known := t.named.LoadOrStore(team, true); !known && t.count.Add(1) > maxTeamSeries {
 		t.named.Delete(team)
 		return otherTeams
 	}
 	return team
 }
 
-// TeamEnded counts a request of a team that ended.
+// TeamEnded counts a request that ended, by its team.
 func (s *Set) TeamEnded(team string, outcome reason.Outcome, why reason.Reason) {
 	label := s.teams.label(team)
 	s.teams.requests.WithLabelValues(label, string(outcome)).Inc()
--- a/metrics/teams_test.go
+++ b/metrics/teams_test.go
@@ -8,18 +8,19 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// A table of 15,000 teams has no more series than one of some dozens.
-func TestSeriesOfTeamsAreBounded(t *testing.T) {
+// The number of series is bounded. Without the bound 15,000 teams would each have
+// their own.
+func TestTeamSeriesAreBounded(t *testing.T) {
 	s := New()
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for part := range 4 {
-		all.Go(func() {
+		workers.Go(func() {
 			for team := part; team < 15_000; team += 4 {
 				s.TeamEnded(fmt.Sprint("t", team), reason.NotRun, reason.OverAllotment)
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	families, err := s.Registry.Gather()
 	if err != nil {
 		t.Fatal(err)
@@ -28,8 +29,8 @@
 		if family.GetName() != "mastwheel_team_requests_total" {
 			continue
 		}
-		if got := len(family.GetMetric()); got != teamsCounted+1 {
-			t.Errorf("%d series", got)
+		if got := len(family.GetMetric()); got != maxTeamSeries+1 {
+			t.Errorf("%d series of teams", got)
 		}
 		total := 0.0
 		for _, one := range family.GetMetric() {
