--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon runs one whole instance: its loops, and the listeners for
-// callers, operators and siblings. The daemon program and the local trial are
-// thin layers over it.
+// Package daemon runs one complete instance: its background loops and its
+// listeners for callers, operators and siblings. The daemon command and the
+// local trial are thin layers over it.
 package daemon
 
 import (
@@ -17,22 +17,23 @@
 	"github.com/mastwheel/mastwheel/operator"
 )
 
-// Options says what to run.
+// Options configures a daemon.
 type Options struct {
 	Config instance.Config
 	Deps   instance.Deps
 	Limits caller.Limits
 	Tokens operator.Tokens
-	// Callers and Operators are open listeners.
+	// Callers and Operators are listeners that are already open.
 	Callers   net.Listener
 	Operators net.Listener
-	// Strangers counts the sibling connections that were refused.
+	// Strangers returns the number of refused sibling connections.
 	Strangers func() int64
-	// DrainTimeout bounds a graceful shutdown; after it, requests are cut off.
+	// DrainTimeout bounds a graceful shutdown. Requests that are still in flight
+	// when it expires are cut off.
 	DrainTimeout time.Duration
 }
 
-// Daemon is one running instance with its listeners.
+// Daemon is one instance with its listeners.
 type Daemon struct {
 	Instance  *instance.Instance
 	options   Options
@@ -40,23 +41,24 @@
 	operators *operator.Server
 }
 
-// DefaultDrainTimeout is longer than an ordinary request with a kept answer.
+// DefaultDrainTimeout is longer than an ordinary request takes, including the
+// time for which its answer is kept.
 const DefaultDrainTimeout = 2 * time.Minute
 
-// New prepares a daemon.
+// New creates a daemon. Run starts it.
 func New(options Options) *Daemon {
-	of := instance.New(options.Config, options.Deps)
-	of.Metrics.CountStrangers(options.Strangers)
+	inst := instance.New(options.Config, options.Deps)
+	inst.Metrics.CountStrangers(options.Strangers)
 	return &Daemon{
-		Instance:  of,
+		Instance:  inst,
 		options:   options,
-		callers:   caller.NewServer(of, options.Limits),
-		operators: operator.NewServer(of, options.Tokens),
+		callers:   caller.NewServer(inst, options.Limits),
+		operators: operator.NewServer(inst, options.Tokens),
 	}
 }
 
-// Run serves until stop ends and the graceful shutdown that follows is done,
-// or until ctx ends, which cuts everything off.
+// Run serves until stop is done and the graceful shutdown that follows has
+// finished. If ctx is done first, Run cuts off all requests.
 func (d *Daemon) Run(ctx, stop context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,20 +84,20 @@
 	defer cancel()
 	klog.InfoS("Graceful shutdown begins", "instance", d.Instance.Self().String(), "inFlight", d.Instance.InFlight())
 	d.Instance.Drain(ctx)
-	klog.InfoS("Graceful shutdown done", "instance", d.Instance.Self().String(), "cutOff", d.Instance.InFlight())
+	klog.InfoS("Graceful shutdown finished", "instance", d.Instance.Self().String(), "cutOff", d.Instance.InFlight())
 }
 
-// closeTimeout bounds the wait for connections that are idle or being closed.
+// closeTimeout bounds the wait for connections that are idle or closing.
 const closeTimeout = 500 * time.Millisecond
 
 func (d *Daemon) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := d.callers.Shutdown(ctx); err != nil {
-		klog.V(1).InfoS("Connections of callers were still open", "err", err)
+		klog.V(1).InfoS("Caller connections were still open at shutdown", "err", err)
 	}
 	if err := d.operators.Shutdown(ctx); err != nil {
-		klog.V(1).InfoS("Connections of operators were still open", "err", err)
+		klog.V(1).InfoS("Operator connections were still open at shutdown", "err", err)
 	}
 	d.options.Deps.Peers.Close()
 }
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -38,22 +38,23 @@
 	backends *platform.Backends
 	metrics  *metrics.Set
 	store    *platform.Store
-	// rejected counts the store's records that cannot be used.
+	// rejected counts store records that cannot be used.
 	rejected *platform.Rejected
-	// metricsPort is 0 without metrics.
+	// metricsPort is 0 if metrics are not served.
 	metricsPort int
 }
 
-// PlatformOptions is what the platform's settings do not say.
+// PlatformOptions holds options that are not in the platform's settings.
 type PlatformOptions struct {
-	// MetricsPort, if not 0, is where the instance serves its metrics.
+	// MetricsPort, if not 0, is the port at which the instance serves metrics.
 	MetricsPort int
-	// AdvertiseSiblings is the "ip:port" that the instance tells its siblings to
-	// use, where something stands between; empty for where it listens.
+	// AdvertiseSiblings is the "ip:port" that the instance advertises to its
+	// siblings, for example when a proxy is in between. If empty, the instance
+	// advertises the address that it listens on.
 	AdvertiseSiblings string
 }
 
-// NewPlatform prepares an instance and opens its socket for siblings.
+// NewPlatform creates an instance and opens its socket for siblings.
 func NewPlatform(settings platform.Settings, options PlatformOptions) (*Platform, error) {
 	advertised := cmp.Or(options.AdvertiseSiblings, settings.Siblings)
 	if _, err := netip.ParseAddrPort(advertised); err != nil {
@@ -66,7 +67,7 @@
 	p := &Platform{settings: settings, metricsPort: options.MetricsPort, metrics: metrics.New()}
 	p.rejected = new(platform.Rejected)
 	p.store = platform.NewStore(settings.Store, p.metrics.StoreCalled, p.rejected)
-	p.backends = platform.NewBackends(upstream.DefaultConfig(), p.connectionLimit, p.pressure)
+	p.backends = platform.NewBackends(upstream.DefaultConfig(), p.connectionLimit, p.backpressureOf)
 	config := edge.DefaultConfig()
 	config.Name, config.Zone, config.Capacity = settings.Name, settings.Zone, settings.Capacity
 	config.FirstStart = settings.FirstStart
@@ -86,20 +87,20 @@
 		Siblings:       sibling.NewClient(),
 		Socket:         socket,
 		Random:         rand.Float64,
-		ServersChanged: func(*registry.View) { p.keepConnections() },
+		ServersChanged: func(*registry.View) { p.closeUnusedConnections() },
 	})
 	p.gateway = forward.New(forward.Deps{
 		Zone: settings.Zone, RegionOf: settings.Regions, View: p.edge, Fleet: p.edge.Fleet, Backends: p.backends,
 		Budget: p.edge.Budget, Allotments: p.edge.Allotments, Metrics: p.metrics, Poison: p.edge.Poison, Random: rand.Float64,
 	}, forward.DefaultConfig())
-	p.watch()
-	p.watchEras()
+	p.registerMetrics()
+	p.registerEraMetrics()
 	return p, nil
 }
 
-// watchEras exports in which era of the store the instance is, and what it has dropped
-// for that.
-func (p *Platform) watchEras() {
+// registerEraMetrics exports the store's era as the instance knows it, and the number
+// of answers that the instance dropped because of their era.
+func (p *Platform) registerEraMetrics() {
 	eras := &p.store.Eras
 	p.metrics.Watch("store_era", "Era of the store, by its last answer.", func() float64 { return float64(eras.Current()) })
 	p.metrics.Count("store_eras_total", "Times that the store has come back from an older copy.", func() float64 {
@@ -116,8 +117,8 @@
 	})
 }
 
-// watch exports what the instance believes, and how old that is.
-func (p *Platform) watch() {
+// registerMetrics exports the instance's state and the age of its data.
+func (p *Platform) registerMetrics() {
 	age := func(confirmed func() time.Time) func() float64 {
 		return func() float64 {
 			at := confirmed()
@@ -131,8 +132,8 @@
 	p.metrics.Watch("table_age_seconds", "Time since the table was last known to be the newest; NaN before.", age(p.edge.TableConfirmed))
 	p.metrics.Watch("server_list_age_seconds", "Time since the list of backend servers was last known to be current; NaN before.", age(p.edge.Confirmed))
 	p.metrics.Count("store_probes_total", "Polls of the store beside those that wait there.", func() float64 {
-		beside, _ := p.edge.Polls()
-		return float64(beside)
+		extra, _ := p.edge.Polls()
+		return float64(extra)
 	})
 	p.metrics.Count("store_polls_given_up_total", "Polls of the store that told less than others did, or that were given up for another reason.", func() float64 {
 		_, givenUp := p.edge.Polls()
@@ -173,85 +174,87 @@
 	p.metrics.Watch("retry_budget_left", "Retries left over all services.", p.edge.RetriesLeft)
 }
 
-// connectionShare is the part of a server's connections that the instances
-// together may open: others connect there too.
+// connectionShare is the fraction of a server's connections that all instances
+// together may open. The rest is left to other clients of the server.
 const connectionShare = 0.8
 
-// connectionLimit is this instance's share of the connections to one server.
+// connectionLimit returns how many connections this instance may open to one
+// server of a service.
 func (p *Platform) connectionLimit(service string) int {
 	view := p.edge.Table()
 	if view == nil || view.Services[service] == nil {
 		return 0
 	}
-	return shareOfConnections(view.Services[service].Connections, p.edge.Instances())
+	return connectionsPerInstance(view.Services[service].Connections, p.edge.Instances())
 }
 
-// shareOfConnections is one instance's share of the connections to one server; 0 means no
-// bound. One that has a request for a server may open a connection there, however many
-// instances there are.
-func shareOfConnections(connections, instances int) int {
+// connectionsPerInstance returns how many connections one instance may open to one
+// server; 0 means no limit. The limit is at least 1, so an instance that has a request
+// for a server can connect to it, regardless of the number of instances.
+func connectionsPerInstance(connections, instances int) int {
 	if connections == 0 {
 		return 0
 	}
 	return max(int(float64(connections)*connectionShare)/instances, 1)
 }
 
-// pressure returns what a run of a server has said of itself. Of those on the list it is
-// found without a lock.
-func (p *Platform) pressure(run string) *backpressure.Server {
+// backpressureOf returns the backpressure state that one run of a server's process has
+// reported. For listed servers it takes no lock.
+func (p *Platform) backpressureOf(run string) *backpressure.Server {
 	if server := p.edge.Fleet.Server(run); server != nil {
 		return server.Pressure
 	}
 	return p.edge.Fleet.Backpressure.Server(run)
 }
 
-// keepConnections drops the connections that are no longer of use.
-func (p *Platform) keepConnections() {
+// closeUnusedConnections closes idle connections and those to servers that are no
+// longer in use.
+func (p *Platform) closeUnusedConnections() {
 	servers := p.edge.Servers()
 	p.backends.Keep(func(id string) bool { return servers.ByRun[id] != nil }, clock.Now())
 }
 
-// keepEvery is the pause between two looks at idle connections; they are few,
-// and closing one a little late costs nothing.
-const keepEvery = time.Second
+// connectionCheckInterval is the pause between two checks for unused connections.
+// There are few of them, and closing one a little late costs nothing.
+const connectionCheckInterval = time.Second
 
-// listenerFor is one address with what is served there.
-type listenerFor struct {
+// endpoint is an address and the function that serves it.
+type endpoint struct {
 	address string
 	serve   func(net.Listener) error
 }
 
-func (p *Platform) listeners() []listenerFor {
+func (p *Platform) listeners() []endpoint {
 	directory := platform.NewDirectory(p.edge, p.settings.Bounds.EntryTTL)
-	all := []listenerFor{
+	all := []endpoint{
 		{p.settings.Callers, platform.NewIngress(p.gateway).Serve},
 		{p.settings.Ready, directory.Serve},
 		{p.settings.Directory, directory.Serve},
 		{p.settings.Siblings, sibling.NewServer(p.edge.SnapshotFor).Serve},
 	}
 	if p.metricsPort > 0 {
-		all = append(all, listenerFor{metricsAddress(p.settings.Callers, p.metricsPort), p.serveMetrics})
+		all = append(all, endpoint{metricsAddress(p.settings.Callers, p.metricsPort), p.serveMetrics})
 	}
 	return all
 }
 
-// Run serves until stop ends and the graceful shutdown that follows is done,
-// or until ctx ends.
+// Run serves until stop is done and the graceful shutdown that follows has
+// finished, or until ctx is done.
 func (p *Platform) Run(ctx, stop context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	for _, one := range p.listeners() {
-		listener, err := net.Listen("tcp", one.address)
+	for _, served := range p.listeners() {
+		listener, err := net.Listen("tcp", served.address)
 		if err != nil {
 			return errors.Wrap(err, "listen")
 		}
 		defer listener.Close()
 		context.AfterFunc(ctx, func() { listener.Close() })
-		group.Go(func() error { return endedBy(ctx, one.serve(listener)) })
+		group.Go(func() error { return ignoreAfterDone(ctx, served.serve(listener)) })
 	}
 	group.Go(func() error { return p.edge.Run(ctx) })
 	group.Go(func() error {
-		for wait.For(ctx, keepEvery) {
-			p.keepConnections()
+		for wait.For(ctx, connectionCheckInterval) {
+			p.closeUnusedConnections()
 		}
 		return nil
 	})
@@ -272,48 +275,49 @@
 	return err
 }
 
-// endedBy drops the error of a listener that was closed since ctx ended.
-func endedBy(ctx context.Context, err error) error {
+// ignoreAfterDone drops the error of a listener that was closed because ctx was done.
+func ignoreAfterDone(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// errStopped ends a group of services after a graceful shutdown.
+// errStopped ends the group of services after a graceful shutdown.
 var errStopped = errors.New("stopped")
 
 const (
-	// lastMoment is kept of the time until the process is killed, to write the
-	// last lines and to close what is open.
-	lastMoment = 250 * time.Millisecond
-	// quietEnd is how long before the end an instance ends that has nothing
-	// left to do: callers that keep its address for longer find another one
-	// sooner.
-	quietEnd = 900 * time.Millisecond
-	// quietPoll is the pause between two looks at whether there is.
-	quietPoll = 20 * time.Millisecond
+	// shutdownReserve is the part of the grace period that is reserved for
+	// writing the last log lines and closing files and connections, before the
+	// platform kills the process.
+	shutdownReserve = 250 * time.Millisecond
+	// idleExitLead is how long before the deadline an instance without requests
+	// in flight exits. Callers that still keep its address then find another
+	// instance sooner.
+	idleExitLead = 900 * time.Millisecond
+	// idlePollInterval is the pause between two checks for requests in flight.
+	idlePollInterval = 20 * time.Millisecond
 )
 
-// drain serves on for as long as the platform allows: callers keep this
-// instance's address for a while after siblings have stopped naming it.
+// drain keeps serving for as long as the platform allows, because callers keep
+// this instance's address for a while after siblings have stopped returning it.
 func (p *Platform) drain() {
 	began := clock.Now()
-	ends := began.Add(p.settings.Bounds.Grace - lastMoment)
+	ends := began.Add(p.settings.Bounds.Grace - shutdownReserve)
 	p.gateway.Stop(began, ends)
 	klog.InfoS("Graceful shutdown begins", "instance", p.settings.Name, "inFlight", p.gateway.InFlight())
 	ctx, cancel := clock.WithDeadline(context.Background(), ends)
 	defer cancel()
 	p.edge.Stop(ctx)
-	wait.Until(ctx, ends.Add(-quietEnd))
-	for p.gateway.InFlight() > 0 && wait.For(ctx, quietPoll) {
+	wait.Until(ctx, ends.Add(-idleExitLead))
+	for p.gateway.InFlight() > 0 && wait.For(ctx, idlePollInterval) {
 	}
 }
 
 func metricsAddress(callers string, port int) string {
 	host, _, err := net.SplitHostPort(callers)
 	if err != nil {
-		panic("daemon: an address that was checked is no address: " + err.Error())
+		panic("daemon: validated address cannot be parsed: " + err.Error())
 	}
 	return net.JoinHostPort(host, fmt.Sprint(port))
 }
