--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator is the HTTP interface towards operators: the table and its
+// Package operator serves the HTTP interface for operators: the table and its
 // edits, the state of the instance, the records of requests, health and
-// metrics. It is apart from the callers' interface.
+// metrics. It is separate from the callers' interface.
 package operator
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/mastwheel/mastwheel/trace"
 )
 
-// Paths of the interface.
+// Paths of the operators' interface.
 const (
 	PathHealth   = "/healthz"
 	PathReady    = "/readyz"
@@ -38,14 +38,14 @@
 	PathRequests = "/v1/requests"
 )
 
-// Tokens are the bearer tokens of the interface.
+// Tokens holds the bearer tokens of the operators' interface.
 type Tokens struct {
-	// Read allows looking, Edit also editing.
+	// Read grants read access. Edit grants read and edit access.
 	Read string
 	Edit string
 }
 
-// Status is what one instance says about itself and its siblings.
+// Status reports the state of one instance, its siblings and its backend servers.
 type Status struct {
 	Self     member.Info       `json:"self"`
 	Ready    bool              `json:"ready"`
@@ -55,7 +55,7 @@
 	Backends []BackendStatus   `json:"backends"`
 }
 
-// BackendStatus is what one instance knows of one backend server.
+// BackendStatus reports one instance's view of one backend server.
 type BackendStatus struct {
 	Name          string `json:"name"`
 	Pool          string `json:"pool"`
@@ -65,22 +65,22 @@
 	WaitingTokens int    `json:"waiting_tokens"`
 	FreePieces    int    `json:"free_pieces"`
 	Leaving       bool   `json:"leaving"`
-	// Steward names the instance that grants its memory.
+	// Steward names the instance that grants the server's memory.
 	Steward string `json:"steward"`
 }
 
-// History is the last edits with their verdicts, the latest first.
+// History lists the latest edits with their verdicts, newest first.
 type History struct {
 	Verdicts []table.Verdict `json:"verdicts"`
-	// BadRecords counts log records that were refused as they could not be
-	// read or verified.
+	// BadRecords counts log records that were refused because they could not
+	// be read or verified.
 	BadRecords int `json:"bad_records"`
 }
 
-// verdictTimeout bounds how long an operator waits for an edit's verdict.
+// verdictTimeout bounds how long a request waits for the verdict on an edit.
 const verdictTimeout = 5 * time.Second
 
-// Server answers operators for one instance.
+// Server serves the operators' interface of one instance.
 type Server struct {
 	instance *instance.Instance
 	tokens   Tokens
@@ -89,11 +89,11 @@
 	denied   prometheus.Counter
 }
 
-// NewServer returns a server for the instance.
-func NewServer(of *instance.Instance, tokens Tokens) *Server {
-	registry := of.Metrics.Registry
+// NewServer returns a server for an instance.
+func NewServer(inst *instance.Instance, tokens Tokens) *Server {
+	registry := inst.Metrics.Registry
 	s := &Server{
-		instance: of,
+		instance: inst,
 		tokens:   tokens,
 		metrics:  fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{})),
 		denied: prometheus.NewCounter(prometheus.CounterOpts{
@@ -105,7 +105,7 @@
 	return s
 }
 
-// Serve answers operators on listener until Shutdown.
+// Serve serves operators on listener until Shutdown is called.
 func (s *Server) Serve(listener net.Listener) error {
 	return errors.Wrap(s.http.Serve(listener), "serve operators")
 }
@@ -132,7 +132,7 @@
 	if !s.allowed(ctx, isEdit) {
 		s.denied.Inc()
 		ctx.Response.Header.Set("WWW-Authenticate", "Bearer")
-		fail(ctx, fasthttp.StatusUnauthorized, "the bearer token does not allow this")
+		writeProblem(ctx, fasthttp.StatusUnauthorized, "the bearer token does not allow this")
 		return
 	}
 	switch {
@@ -152,11 +152,12 @@
 	case strings.HasPrefix(path, PathRequests+"/"):
 		s.explain(ctx, strings.TrimPrefix(path, PathRequests+"/"))
 	default:
-		fail(ctx, fasthttp.StatusNotFound, "no such path")
+		writeProblem(ctx, fasthttp.StatusNotFound, "no such path")
 	}
 }
 
-// allowed compares tokens in constant time, whatever their lengths.
+// allowed reports whether the request's bearer token permits it. It compares
+// tokens in constant time, regardless of their lengths.
 func (s *Server) allowed(ctx *fasthttp.RequestCtx, isEdit bool) bool {
 	given := strings.TrimPrefix(string(ctx.Request.Header.Peek("Authorization")), "Bearer ")
 	mayEdit := sameToken(given, s.tokens.Edit)
@@ -171,29 +172,29 @@
 
 func (s *Server) ready(ctx *fasthttp.RequestCtx) {
 	if err := s.instance.Ready(); err != nil {
-		fail(ctx, fasthttp.StatusServiceUnavailable, err.Error())
+		writeProblem(ctx, fasthttp.StatusServiceUnavailable, err.Error())
 		return
 	}
 	ctx.SetBodyString("ready\n")
 }
 
-// edit appends an edit and answers with its verdict, or with 202 when that is
-// not known yet.
+// edit appends an edit to the log. It responds with the verdict, or with status
+// 202 if the verdict is not known yet.
 func (s *Server) edit(ctx *fasthttp.RequestCtx) {
 	var edit table.Edit
 	if err := json.Unmarshal(ctx.PostBody(), &edit); err != nil {
-		fail(ctx, fasthttp.StatusBadRequest, "edit: "+err.Error())
+		writeProblem(ctx, fasthttp.StatusBadRequest, "edit: "+err.Error())
 		return
 	}
 	if edit.ID == "" || edit.Author == "" || edit.Reason == "" {
-		fail(ctx, fasthttp.StatusBadRequest, "an edit needs an id, an author and a reason")
+		writeProblem(ctx, fasthttp.StatusBadRequest, "an edit needs an id, an author and a reason")
 		return
 	}
 	waitCtx, cancel := context.WithTimeout(context.Background(), verdictTimeout)
 	defer cancel()
 	record, err := json.Marshal(edit)
 	if err != nil {
-		fail(ctx, fasthttp.StatusBadRequest, "edit: "+err.Error())
+		writeProblem(ctx, fasthttp.StatusBadRequest, "edit: "+err.Error())
 		return
 	}
 	verdict, err := s.instance.Append(waitCtx, edit.ID, record)
@@ -211,7 +212,7 @@
 func (s *Server) verdict(ctx *fasthttp.RequestCtx, editID string) {
 	verdict, known := s.instance.Verdict(editID)
 	if !known {
-		fail(ctx, fasthttp.StatusNotFound, "no verdict on this edit is known here")
+		writeProblem(ctx, fasthttp.StatusNotFound, "no verdict on this edit is known here")
 		return
 	}
 	writeJSON(ctx, verdict)
@@ -252,7 +253,7 @@
 
 const (
 	defaultRecent = 20
-	mostRecent    = 1000
+	maxRecent     = 1000
 )
 
 func (s *Server) recent(ctx *fasthttp.RequestCtx) {
@@ -260,7 +261,7 @@
 	if err != nil {
 		n = defaultRecent
 	}
-	recent := s.instance.Traces.Recent(min(n, mostRecent))
+	recent := s.instance.Traces.Recent(min(n, maxRecent))
 	if recent == nil {
 		recent = []*trace.Request{}
 	}
@@ -270,22 +271,22 @@
 func (s *Server) explain(ctx *fasthttp.RequestCtx, requestID string) {
 	record := s.instance.Explain(ctx, requestID)
 	if record == nil {
-		fail(ctx, fasthttp.StatusNotFound, "no record of this request is kept")
+		writeProblem(ctx, fasthttp.StatusNotFound, "no record of this request is kept")
 		return
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBody(record)
 }
 
-type failureBody struct {
+type problemDetails struct {
 	Status int    `json:"status"`
 	Title  string `json:"title"`
 	Detail string `json:"detail"`
 }
 
-// fail writes a problem details object (RFC 9457).
-func fail(ctx *fasthttp.RequestCtx, status int, detail string) {
-	writeJSON(ctx, failureBody{Status: status, Title: fasthttp.StatusMessage(status), Detail: detail})
+// writeProblem writes a problem details object (RFC 9457).
+func writeProblem(ctx *fasthttp.RequestCtx, status int, detail string) {
+	writeJSON(ctx, problemDetails{Status: status, Title: fasthttp.StatusMessage(status), Detail: detail})
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/problem+json")
 }
@@ -293,7 +294,7 @@
 func writeJSON(ctx *fasthttp.RequestCtx, value any) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic("operator: answer cannot be encoded: " + err.Error())
+		panic("operator: cannot encode response: " + err.Error())
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBody(encoded)
