--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the static settings of one instance from TOML. What
-// operators change while the system runs is not here but in the table.
+// Package config reads the static settings of one instance from TOML. Settings
+// that operators change while the system runs are in the table instead.
 package config
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/mastwheel/mastwheel/instance"
 )
 
-// Settings is a whole settings file.
+// Settings is the content of a settings file.
 type Settings struct {
 	Instance Instance `toml:"instance"`
 	Platform Platform `toml:"platform"`
@@ -19,27 +19,28 @@
 	Log      Log      `toml:"log"`
 }
 
-// Instance says who the instance is and where callers reach it.
+// Instance identifies the instance and sets where callers reach it.
 type Instance struct {
 	Name string `toml:"name"`
-	// Zone is the availability zone.
+	// Zone is the availability zone of the instance.
 	Zone string `toml:"zone"`
-	// Listen is the TCP address for callers, Advertise the one that they are
-	// told; empty means the same.
+	// Listen is the TCP address for callers. Advertise is the address that
+	// callers are given; if empty, it is the same as Listen.
 	Listen    string `toml:"listen"`
 	Advertise string `toml:"advertise"`
 }
 
-// Platform names the platform's services, "ip:port" each.
+// Platform holds the addresses of the platform's services, each "ip:port".
 type Platform struct {
 	Log          string `toml:"log"`
 	InstanceList string `toml:"instance_list"`
 	WeightStore  string `toml:"weight_store"`
 }
 
-// Peer is the interface between siblings.
+// Peer configures the interface between siblings.
 type Peer struct {
-	// Listen is the UDP address, Advertise the one that siblings use.
+	// Listen is the UDP address for siblings. Advertise is the address that
+	// siblings use; if empty, it is the same as Listen.
 	Listen      string `toml:"listen"`
 	Advertise   string `toml:"advertise"`
 	Certificate string `toml:"certificate"`
@@ -47,16 +48,16 @@
 	Authorities string `toml:"authorities"`
 }
 
-// Operator is the operators' interface.
+// Operator configures the operators' interface.
 type Operator struct {
 	Listen string `toml:"listen"`
-	// ReadToken and EditToken are the bearer tokens for looking and editing.
+	// ReadToken and EditToken are the bearer tokens for reading and editing.
 	ReadToken string `toml:"read_token"`
 	EditToken string `toml:"edit_token"`
 }
 
-// Limits bounds what callers can make the instance spend. Zero means the
-// default.
+// Limits bounds the resources that callers can make the instance use. Zero
+// means the default.
 type Limits struct {
 	MaxBodyBytes     int `toml:"max_body_bytes"`
 	ReadSeconds      int `toml:"read_seconds"`
@@ -67,9 +68,10 @@
 	StaleSeconds     int `toml:"stale_after_seconds"`
 }
 
-// Log sets what is logged.
+// Log configures logging.
 type Log struct {
-	// Verbosity is klog's -v: 0 for the usual, 2 for each request's end.
+	// Verbosity is klog's -v: 0 is the default, 2 also logs the end of each
+	// request.
 	Verbosity int `toml:"verbosity"`
 }
 
--- a/config/load.go
+++ b/config/load.go
@@ -13,10 +13,10 @@
 	"github.com/pkg/errors"
 )
 
-// Error is one fault of a settings file.
+// Error is one error in a settings file.
 type Error struct {
 	File string
-	// Line counts from 1; 0 when the key is missing from the file.
+	// Line counts from 1. It is 0 if the key is missing from the file.
 	Line  int
 	Key   string
 	Cause string
@@ -27,7 +27,8 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.Cause)
 }
 
-// Load reads and checks a settings file. The error lists every fault.
+// Load reads and validates a settings file. The returned error lists every error
+// in the file.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -36,7 +37,7 @@
 	return Parse(file, data)
 }
 
-// Parse reads and checks settings; file names them in errors.
+// Parse decodes and validates settings. Errors refer to them by the name file.
 func Parse(file string, data []byte) (*Settings, error) {
 	settings := new(Settings)
 	decoder := toml.NewDecoder(bytes.NewReader(data))
@@ -81,7 +82,7 @@
 	return errors.New(strings.Join(lines, "\n"))
 }
 
-// keyLines finds the line of each key, "table.key".
+// keyLines returns the line of each key, in the form "table.key".
 func keyLines(data []byte) map[string]int {
 	lines := make(map[string]int)
 	parser := unstable.Parser{}
@@ -110,7 +111,7 @@
 	return strings.Join(parts, "."), line
 }
 
-// checker gathers the faults of one file.
+// checker collects the errors in one settings file.
 type checker struct {
 	file   string
 	lines  map[string]int
@@ -121,11 +122,11 @@
 	c.faults = append(c.faults, &Error{File: c.file, Line: c.lines[key], Key: key, Cause: cause})
 }
 
-// validName keeps instance and zone names usable inside ids.
+// validName matches instance and zone names that can be used inside IDs.
 var validName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
 const (
-	// minTokenLength keeps operators' tokens from being guessed.
+	// minTokenLength prevents operators' tokens that are easy to guess.
 	minTokenLength = 16
 	maxSeconds     = 86_400
 	maxCount       = 1 << 30
@@ -147,14 +148,14 @@
 	c.address("operator.listen", s.Operator.Listen)
 	c.token("operator.read_token", s.Operator.ReadToken)
 	c.token("operator.edit_token", s.Operator.EditToken)
-	c.within("limits.max_body_bytes", s.Limits.MaxBodyBytes, maxCount)
-	c.within("limits.read_seconds", s.Limits.ReadSeconds, maxSeconds)
-	c.within("limits.max_connections", s.Limits.MaxConnections, maxCount)
-	c.within("limits.max_tokens", s.Limits.MaxTokens, maxCount)
-	c.within("limits.keep_seconds", s.Limits.KeepSeconds, maxSeconds)
-	c.within("limits.operation_seconds", s.Limits.OperationSeconds, maxSeconds)
-	c.within("limits.stale_after_seconds", s.Limits.StaleSeconds, maxSeconds)
-	c.within("log.verbosity", s.Log.Verbosity, 10)
+	c.inRange("limits.max_body_bytes", s.Limits.MaxBodyBytes, maxCount)
+	c.inRange("limits.read_seconds", s.Limits.ReadSeconds, maxSeconds)
+	c.inRange("limits.max_connections", s.Limits.MaxConnections, maxCount)
+	c.inRange("limits.max_tokens", s.Limits.MaxTokens, maxCount)
+	c.inRange("limits.keep_seconds", s.Limits.KeepSeconds, maxSeconds)
+	c.inRange("limits.operation_seconds", s.Limits.OperationSeconds, maxSeconds)
+	c.inRange("limits.stale_after_seconds", s.Limits.StaleSeconds, maxSeconds)
+	c.inRange("log.verbosity", s.Log.Verbosity, 10)
 }
 
 func (c *checker) name(key, value string) {
@@ -175,7 +176,7 @@
 	}
 }
 
-// existingFile checks that a named file is there.
+// existingFile checks that a file exists.
 func (c *checker) existingFile(key, value string) {
 	if value == "" {
 		c.fault(key, "is missing")
@@ -192,7 +193,7 @@
 	}
 }
 
-func (c *checker) within(key string, value, high int) {
+func (c *checker) inRange(key string, value, high int) {
 	if value < 0 || value > high {
 		c.fault(key, fmt.Sprintf("%d is outside 0 to %d", value, high))
 	}
