--- a/cmd/mastwheeld/main.go
+++ b/cmd/mastwheeld/main.go
@@ -33,7 +33,7 @@
 		Usage: "run one instance of the mastwheel router",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "config", Usage: "settings `FILE` in TOML"},
-			&cli.BoolFlag{Name: "check", Usage: "only check the settings"},
+			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
 		},
 		EnableShellCompletion: true,
 		Commands:              []*cli.Command{platformCommand()},
@@ -76,14 +76,14 @@
 	return daemon.New(options).Run(ctx, stop)
 }
 
-// open opens the listeners and clients that the settings name.
+// open opens the listeners and creates the clients that the settings configure.
 func open(settings *config.Settings) (daemon.Options, error) {
 	identity, err := peer.LoadIdentity(settings.Peer.Certificate, settings.Peer.Key, settings.Peer.Authorities)
 	if err != nil {
 		return daemon.Options{}, err
 	}
 	keys := peer.NewKeys(identity)
-	go renewKeys(keys, settings.Peer)
+	go reloadKeys(keys, settings.Peer)
 	siblings, err := peer.ListenQUIC(settings.Peer.Listen, keys)
 	if err != nil {
 		return daemon.Options{}, err
@@ -116,18 +116,18 @@
 	}, nil
 }
 
-// renewKeys reads the key files again at every SIGHUP. Files that cannot be
-// used leave the keys in use as they are.
-func renewKeys(keys *peer.Keys, files config.Peer) {
+// reloadKeys reloads the key files on every SIGHUP. If the files are unusable,
+// the current keys stay in use.
+func reloadKeys(keys *peer.Keys, files config.Peer) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	for range hangups {
 		identity, err := peer.LoadIdentity(files.Certificate, files.Key, files.Authorities)
 		if err != nil {
-			klog.ErrorS(err, "New keys cannot be used; the old ones stay")
+			klog.ErrorS(err, "Reloading the keys failed; the current keys stay in use")
 			continue
 		}
 		keys.Replace(identity)
-		klog.InfoS("Keys were read again")
+		klog.InfoS("Keys were reloaded")
 	}
 }
--- a/cmd/mastwheeld/main_test.go
+++ b/cmd/mastwheeld/main_test.go
@@ -21,7 +21,8 @@
 	testscript.Run(t, testscript.Params{Dir: "testdata/scripts", Setup: writeSettings})
 }
 
-// settings is a valid file; its ports are free ones.
+// settings is a valid settings file. writeSettings replaces the names in upper
+// case by addresses with free ports.
 const settings = `[instance]
 name = "sabana-1"
 zone = "sabana"
@@ -41,7 +42,8 @@
 edit_token = "fedcba9876543210"
 `
 
-// writeSettings puts a valid settings file with keys into a script's folder.
+// writeSettings writes a valid settings file, its key files and two invalid
+// settings files into a script's working directory.
 func writeSettings(env *testscript.Env) error {
 	authority, err := peer.NewAuthority()
 	if err != nil {
@@ -52,12 +54,12 @@
 		return err
 	}
 	good := settings
-	for _, place := range []string{"CALLERS", "PLATFORM", "PEERS", "OPERATORS"} {
+	for _, placeholder := range []string{"CALLERS", "PLATFORM", "PEERS", "OPERATORS"} {
 		address, err := freePort()
 		if err != nil {
 			return err
 		}
-		good = strings.ReplaceAll(good, place, address)
+		good = strings.ReplaceAll(good, placeholder, address)
 	}
 	bad := strings.Replace(good, `zone = "sabana"`, `zone = "Sabana!"`, 1)
 	bad = regexp.MustCompile(`(?m)^listen = .*$`).ReplaceAllString(bad, `listen = "localhost:1"`)
--- a/cmd/mastwheeld/platform.go
+++ b/cmd/mastwheeld/platform.go
@@ -17,28 +17,28 @@
 	"github.com/mastwheel/mastwheel/platform"
 )
 
-// platformCommand runs an instance on the users' platform.
+// platformCommand returns the command that runs an instance on the users' platform.
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
 		Usage: "run one instance on the users' platform, with its settings from $" + platform.SettingsVariable,
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "check", Usage: "only check the settings"},
-			&cli.IntFlag{Name: "verbosity", Usage: "log `LEVEL`: 0 for refusals, failures and what is known, 2 for every request"},
-			&cli.StringFlag{Name: "advertise-siblings", Usage: "`IP:PORT` at which siblings reach this instance, if other than where it listens for them"},
+			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
+			&cli.IntFlag{Name: "verbosity", Usage: "log `LEVEL`: 0 for refusals, failures and the instance's state, 2 for every request"},
+			&cli.StringFlag{Name: "advertise-siblings", Usage: "`IP:PORT` at which siblings reach this instance, if it is not the address it listens on for them"},
 			&cli.IntFlag{Name: "metrics-port", Usage: "serve metrics at this `PORT`; 0 for none"},
 		},
 		Action: runPlatform,
 	}
 }
 
-// logQueue is how many lines may wait for a reader that does not keep up: a
-// few seconds' worth under load, and less than a megabyte.
-const logQueue = 2000
+// logQueueLines bounds the log lines that wait for a slow reader of the output.
+// It holds a few seconds of log lines under load, in less than a megabyte.
+const logQueueLines = 2000
 
-// lastLines bounds the wait for the log at the end; the process is killed 250 ms
-// after it should have ended.
-const lastLines = 150 * time.Millisecond
+// logFlushTimeout bounds the wait for the log to be written at exit. The process
+// is killed 250 ms after it should have exited.
+const logFlushTimeout = 150 * time.Millisecond
 
 func runPlatform(ctx context.Context, command *cli.Command) error {
 	settings, err := platform.LoadSettings()
@@ -49,12 +49,12 @@
 		fmt.Println("settings are valid")
 		return nil
 	}
-	output := logging.NewBounded(os.Stdout, logQueue)
+	output := logging.NewBounded(os.Stdout, logQueueLines)
 	if err := logging.Setup(output, command.Int("verbosity")); err != nil {
 		return err
 	}
 	limitMemory(settings.MemoryBytes)
-	// A reader of the output that has gone must not end the instance.
+	// The instance keeps running when the reader of its output has exited.
 	signal.Ignore(syscall.SIGPIPE)
 	stop, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer cancel()
@@ -67,35 +67,38 @@
 	go watchHangups()
 	klog.InfoS("Start", "instance", settings.Name, "zone", settings.Zone, "callers", settings.Callers,
 		"siblings", settings.Siblings, "store", settings.Store)
-	defer output.Flush(lastLines)
+	defer output.Flush(logFlushTimeout)
 	return instance.Run(ctx, stop)
 }
 
 const (
-	// memoryShare of the limit may be used before the collector works harder;
-	// the rest is for stacks, sockets and what the runtime does not count.
+	// memoryShare is the fraction of the instance's memory limit that is given to
+	// the Go runtime as its limit. The garbage collector runs more often as memory
+	// use approaches it. The rest is for stacks, sockets and memory that the
+	// runtime does not count.
 	memoryShare = 0.6
-	// collectAt lets the heap grow to this percentage of what is live: memory
-	// is cheaper than processor time on these instances.
-	collectAt = 300
+	// gcPercent is the growth of the heap over the live data, in percent, that
+	// starts a garbage collection. It is high because memory is cheaper than
+	// processor time on these instances.
+	gcPercent = 300
 )
 
 func limitMemory(limit int64) {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if limit > 0 {
 		debug.SetMemoryLimit(int64(float64(limit) * memoryShare))
 	}
 }
 
-// watchHangups logs each request to read the settings again. Addresses and
-// bounds of a running instance do not change, so there is nothing to take over.
+// watchHangups checks the settings on every SIGHUP and logs the result. It does not
+// apply them: the addresses and bounds of a running instance do not change.
 func watchHangups() {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	for range hangups {
 		settings, err := platform.LoadSettings()
 		if err != nil {
-			klog.ErrorS(err, "Reload: the settings cannot be used; the old ones stay")
+			klog.ErrorS(err, "Reload failed: the settings are unusable; the current settings stay in use")
 			continue
 		}
 		klog.InfoS("Reload", "instance", settings.Name)
