--- a/cmd/mastwheel/caller.go
+++ b/cmd/mastwheel/caller.go
@@ -17,7 +17,7 @@
 func entryCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "entry",
-		Usage: "ask which address to use",
+		Usage: "show the address of an instance that a caller in the zone should use",
 		Flags: []cli.Flag{addressFlag(), zoneFlag(), jsonFlag()},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			c := client.New(command.StringSlice("address"), command.String("zone"))
@@ -43,7 +43,7 @@
 		ArgsUsage: "FILE",
 		Flags: []cli.Flag{
 			addressFlag(), zoneFlag(),
-			&cli.StringFlag{Name: "model", Usage: "`MODEL` to ask", Required: true},
+			&cli.StringFlag{Name: "model", Usage: "`MODEL` to use", Required: true},
 			&cli.IntFlag{Name: "max-tokens", Usage: "length of the answer, in tokens", Value: 64},
 			&cli.StringFlag{Name: "team", Usage: "`TEAM` of the caller"},
 		},
--- a/cmd/mastwheel/capacity.go
+++ b/cmd/mastwheel/capacity.go
@@ -12,10 +12,10 @@
 func capacityCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "capacity",
-		Usage: "measure what each mechanism costs per unit of size, and work out the size to design for",
+		Usage: "measure the cost of each mechanism per unit of size, and calculate the size to design for",
 		Flags: []cli.Flag{
 			jsonFlag(),
-			&cli.BoolFlag{Name: "page", Usage: "print docs/CAPACITY.md"},
+			&cli.BoolFlag{Name: "page", Usage: "print the text of docs/CAPACITY.md"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
 			out := command.Root().Writer
--- a/cmd/mastwheel/explain.go
+++ b/cmd/mastwheel/explain.go
@@ -10,14 +10,15 @@
 	"github.com/mastwheel/mastwheel/explain"
 )
 
-// flagLog names log files of instances.
+// flagLog is the name of the flag for instances' log files.
 const flagLog = "log"
 
 func logFlag() cli.Flag {
-	return &cli.StringSliceFlag{Name: flagLog, Usage: "read log `FILE`s of instances instead of asking one; - is standard input"}
+	return &cli.StringSliceFlag{Name: flagLog, Usage: "read instances' log `FILE`s instead of querying an instance; - is standard input"}
 }
 
-// explainFromLogs tells a request's story from the log lines of instances.
+// explainFromLogs prints a request's log lines, in order, from the log files of
+// instances.
 func explainFromLogs(command *cli.Command, files []string) error {
 	request := command.Args().First()
 	return withLogs(command, files, func(logs io.Reader) error {
@@ -29,7 +30,7 @@
 	})
 }
 
-// withLogs reads log files one after the other; "-" is standard input.
+// withLogs calls read with the concatenated log files; "-" is standard input.
 func withLogs(command *cli.Command, files []string, read func(logs io.Reader) error) error {
 	var logs []io.Reader
 	for _, name := range files {
@@ -39,7 +40,7 @@
 		}
 		file, err := os.Open(name)
 		if err != nil {
-			return errors.Wrap(err, "open a log")
+			return errors.Wrap(err, "open log file")
 		}
 		defer file.Close()
 		logs = append(logs, file)
--- a/cmd/mastwheel/load.go
+++ b/cmd/mastwheel/load.go
@@ -16,19 +16,19 @@
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "send open-loop traffic and measure what the callers see",
+		Usage: "send open-loop traffic and measure what its callers observe",
 		Flags: []cli.Flag{
 			addressFlag(), zoneFlag(), jsonFlag(),
-			&cli.StringFlag{Name: "model", Usage: "`MODEL` to ask", Required: true},
+			&cli.StringFlag{Name: "model", Usage: "`MODEL` to use", Required: true},
 			&cli.StringFlag{Name: "service", Usage: "plain `SERVICE` to call"},
-			&cli.FloatFlag{Name: "rate", Usage: "model requests a second", Value: 5},
-			&cli.FloatFlag{Name: "plain-rate", Usage: "plain calls a second"},
-			&cli.DurationFlag{Name: "duration", Usage: "how long arrivals last", Value: 10 * time.Second},
-			&cli.Uint64Flag{Name: "seed", Usage: "seed of the arrivals", Value: 1},
-			&cli.FloatFlag{Name: "prompt", Usage: "median prompt, in tokens", Value: 2200},
-			&cli.IntFlag{Name: "answer", Usage: "mean answer, in tokens", Value: 96},
+			&cli.FloatFlag{Name: "rate", Usage: "model requests per second", Value: 5},
+			&cli.FloatFlag{Name: "plain-rate", Usage: "plain calls per second"},
+			&cli.DurationFlag{Name: "duration", Usage: "how long requests are sent", Value: 10 * time.Second},
+			&cli.Uint64Flag{Name: "seed", Usage: "seed of the planned requests", Value: 1},
+			&cli.FloatFlag{Name: "prompt", Usage: "median length of a prompt, in tokens", Value: 2200},
+			&cli.IntFlag{Name: "answer", Usage: "mean length of an answer, in tokens", Value: 96},
 			&cli.StringSliceFlag{Name: "team", Usage: "`TEAM` of the callers; may be repeated", Value: []string{"load"}},
-			&cli.IntFlag{Name: "callers", Usage: "callers with an address of their own", Value: 8},
+			&cli.IntFlag{Name: "callers", Usage: "number of callers; each selects its own instance address", Value: 8},
 		},
 		Action: runLoad,
 	}
--- a/cmd/mastwheel/log.go
+++ b/cmd/mastwheel/log.go
@@ -10,28 +10,28 @@
 	"github.com/mastwheel/mastwheel/explain"
 )
 
-// logCommand finds the requests in instances' logs that ended in some way.
+// logCommand returns the command that lists or counts requests in instances' logs.
 func logCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "log",
-		Usage:     "list requests from instances' logs by how they ended",
+		Usage:     "list ended requests from instances' logs",
 		ArgsUsage: "FILE...",
-		Description: "Reads the log files of any number of instances; - is standard input. Requests that were\n" +
-			"served are logged one in fifty, all others up to a limit a second.",
+		Description: "Reads the log files of any number of instances; - is standard input. Instances log one in\n" +
+			"fifty of the served requests, and all others up to a limit per second.",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "reason", Usage: "only requests that ended for `REASON`"},
-			&cli.StringFlag{Name: "outcome", Usage: "only `OUTCOME`: done, not_run or unknown"},
+			&cli.StringFlag{Name: "reason", Usage: "only requests that ended with `REASON`"},
+			&cli.StringFlag{Name: "outcome", Usage: "only requests with `OUTCOME`: done, not_run or unknown"},
 			&cli.StringFlag{Name: "service", Usage: "only requests to `SERVICE`"},
 			&cli.StringFlag{Name: "route", Usage: "only requests on `ROUTE`"},
-			&cli.StringFlag{Name: "server", Usage: "only requests that were sent to backend server `ID`, or to a run of it"},
-			&cli.StringFlag{Name: "revision", Usage: "only requests decided by revision `N` of the table"},
-			&cli.BoolFlag{Name: "count", Usage: "count them by service, outcome, status and reason"},
+			&cli.StringFlag{Name: "server", Usage: "only requests that were sent to backend server `ID`, or to one run of its process"},
+			&cli.StringFlag{Name: "revision", Usage: "only requests routed by revision `N` of the table"},
+			&cli.BoolFlag{Name: "count", Usage: "count requests by service, outcome, status and reason"},
 		},
-		Action: searchLogs,
+		Action: runLog,
 	}
 }
 
-func searchLogs(_ context.Context, command *cli.Command) error {
+func runLog(_ context.Context, command *cli.Command) error {
 	files := command.Args().Slice()
 	if len(files) == 0 {
 		return errors.New("name at least one log file, or - for standard input")
--- a/cmd/mastwheel/main.go
+++ b/cmd/mastwheel/main.go
@@ -1,4 +1,4 @@
-// Command mastwheel is the operators' client, the load tool and the local
+// Command mastwheel is the operators' client, the load generator and the local
 // trial.
 package main
 
@@ -26,7 +26,7 @@
 func newCommand() *cli.Command {
 	return &cli.Command{
 		Name:                  "mastwheel",
-		Usage:                 "look at and drive the mastwheel router",
+		Usage:                 "inspect and operate the mastwheel router",
 		Version:               version,
 		EnableShellCompletion: true,
 		Commands: []*cli.Command{
@@ -57,7 +57,7 @@
 	}
 }
 
-// Flags that several commands share.
+// The flags below are shared by several commands.
 
 func addressFlag() cli.Flag {
 	return &cli.StringSliceFlag{
@@ -66,11 +66,11 @@
 	}
 }
 
-func operatorFlags() []cli.Flag { return operatorFlagsOr(true) }
+func operatorFlags() []cli.Flag { return makeOperatorFlags(true) }
 
-// operatorFlagsOr are the flags of a command that needs an instance only if
-// required.
-func operatorFlagsOr(required bool) []cli.Flag {
+// makeOperatorFlags returns the flags of a command that queries an instance's
+// operators' interface. The address is mandatory if required is set.
+func makeOperatorFlags(required bool) []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{
 			Name: "operator", Usage: "operator `ADDRESS` of an instance, ip:port",
--- a/cmd/mastwheel/main_test.go
+++ b/cmd/mastwheel/main_test.go
@@ -13,7 +13,8 @@
 	testscript.Main(m, map[string]func(){"mastwheel": main})
 }
 
-// TestScripts runs the program against a small system without traffic.
+// TestScripts runs the command against a local trial of two instances without
+// traffic.
 func TestScripts(t *testing.T) {
 	system, err := trial.Start(trial.Options{
 		Deployment: trial.Deployments["cooperativa"], Instances: 2, Seed: 1, Protect: request.AllProtections(),
--- a/cmd/mastwheel/operator.go
+++ b/cmd/mastwheel/operator.go
@@ -19,8 +19,9 @@
 	"github.com/mastwheel/mastwheel/trace"
 )
 
-// ask gets one value from the operators' interface.
-func ask(ctx context.Context, command *cli.Command, path string, into any) error {
+// getJSON gets a path of the operators' interface and decodes its response into
+// a value.
+func getJSON(ctx context.Context, command *cli.Command, path string, into any) error {
 	c := httpjson.New(command.String("token"))
 	defer c.Close()
 	status, raw, err := c.Do(ctx, http.MethodGet, "http://"+command.String("operator")+path, nil, into)
@@ -49,7 +50,7 @@
 		Flags: operatorFlags(),
 		Action: func(ctx context.Context, command *cli.Command) error {
 			var status operator.Status
-			if err := ask(ctx, command, operator.PathStatus, &status); err != nil {
+			if err := getJSON(ctx, command, operator.PathStatus, &status); err != nil {
 				return err
 			}
 			if command.Bool("json") {
@@ -102,9 +103,9 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "show why a request went where it did, from an instance or from its logs",
+		Usage:     "show how a request was routed, from an instance's records or its logs",
 		ArgsUsage: "REQUEST-ID",
-		Flags:     append(operatorFlagsOr(false), logFlag()),
+		Flags:     append(makeOperatorFlags(false), logFlag()),
 		Action: func(ctx context.Context, command *cli.Command) error {
 			if files := command.StringSlice(flagLog); len(files) > 0 && command.Args().Len() == 1 {
 				return explainFromLogs(command, files)
@@ -116,7 +117,7 @@
 				return errors.New("explain: give --operator, or --log with the log files")
 			}
 			var raw json.RawMessage
-			if err := ask(ctx, command, operator.PathRequests+"/"+command.Args().First(), &raw); err != nil {
+			if err := getJSON(ctx, command, operator.PathRequests+"/"+command.Args().First(), &raw); err != nil {
 				return err
 			}
 			if command.Bool("json") {
@@ -125,7 +126,7 @@
 			}
 			var record trace.Request
 			if err := json.Unmarshal(raw, &record); err != nil {
-				return errors.Wrap(err, "read record")
+				return errors.Wrap(err, "decode record of request")
 			}
 			printRecord(command.Root().Writer, &record)
 			return nil
@@ -140,12 +141,12 @@
 		fmt.Fprintf(out, "%9.3f ms  attempt %d  %-12s %s %s\n",
 			float64(step.At)/1000, step.Attempt, step.State, step.Server, step.Reason)
 		if step.Choice != nil {
-			printChoice(out, step.Choice)
+			printDecision(out, step.Choice)
 		}
 	}
 }
 
-func printChoice(out io.Writer, d *route.Decision) {
+func printDecision(out io.Writer, d *route.Decision) {
 	for _, rated := range d.Rated {
 		if rated.DroppedBy != "" {
 			fmt.Fprintf(out, "%16s  %-20s dropped by %s\n", "", rated.Name, rated.DroppedBy)
--- a/cmd/mastwheel/standins.go
+++ b/cmd/mastwheel/standins.go
@@ -17,11 +17,11 @@
 func standinsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "standins",
-		Usage: "run only the stand-ins of a deployment, for daemons in processes of their own",
+		Usage: "run only the stand-ins of a deployment, for daemons that run as separate processes",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "deployment", Usage: "cooperativa or camara", Value: "cooperativa"},
 			&cli.StringFlag{Name: "platform", Usage: "`ADDRESS` of the log and the instance list", Value: "127.0.0.1:7700"},
-			&cli.StringSliceFlag{Name: "instance", Usage: "`NAME,ZONE,PEER-ADDRESS` to show on the list; may be repeated"},
+			&cli.StringSliceFlag{Name: "instance", Usage: "`NAME,ZONE,PEER-ADDRESS` to put on the instance list; may be repeated"},
 		},
 		Action: runStandins,
 	}
@@ -32,7 +32,8 @@
 	if err != nil {
 		return err
 	}
-	// The flag library splits values at commas, so a triple arrives in parts.
+	// The flag library splits values at commas, so each triple arrives as three
+	// values.
 	parts := command.StringSlice("instance")
 	if len(parts)%3 != 0 {
 		return errors.Errorf("--instance: %q is not a list of NAME,ZONE,PEER-ADDRESS", strings.Join(parts, ","))
@@ -56,7 +57,7 @@
 func keysCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "keys",
-		Usage:     "make keys between instances that are good for a day, for trials",
+		Usage:     "create keys for the connections between instances of a trial, valid for one day",
 		ArgsUsage: "DIRECTORY",
 		Action: func(_ context.Context, command *cli.Command) error {
 			if command.Args().Len() != 1 {
@@ -77,11 +78,11 @@
 		return err
 	}
 	if err := os.MkdirAll(directory, 0o700); err != nil {
-		return errors.Wrap(err, "keys")
+		return errors.Wrap(err, "create key directory")
 	}
 	for name, content := range files {
 		if err := os.WriteFile(filepath.Join(directory, name), content, 0o600); err != nil {
-			return errors.Wrap(err, "keys")
+			return errors.Wrap(err, "write key file")
 		}
 	}
 	return nil
--- a/cmd/mastwheel/table.go
+++ b/cmd/mastwheel/table.go
@@ -27,18 +27,18 @@
 	}
 	return &cli.Command{
 		Name:  "table",
-		Usage: "look at and edit the operators' table",
+		Usage: "inspect and edit the operators' table",
 		Commands: []*cli.Command{
 			sub("show", "show the table in force", "", runTableShow, &cli.BoolFlag{Name: "toml", Usage: "print TOML"}),
 			sub("get", "print one cell or one row", "KIND.ROW[.COLUMN]", runTableGet),
-			sub("set", "set one cell; an empty VALUE empties it", "KIND.ROW.COLUMN VALUE", runTableSet, editFlags()...),
+			sub("set", "set one cell; an empty VALUE clears it", "KIND.ROW.COLUMN VALUE", runTableSet, editFlags()...),
 			sub("edit", "set several cells in one edit", "KIND.ROW.COLUMN=VALUE …", runTableEdit, editFlags()...),
 			sub("remove", "remove a row", "KIND.ROW", runTableRemove, editFlags()...),
-			sub("apply", "make the table what a TOML file says", "FILE", runTableApply, editFlags()...),
+			sub("apply", "make the table match a TOML file", "FILE", runTableApply, editFlags()...),
 			sub("diff", "show what apply would change", "FILE", runTableDiff),
-			sub("history", "show the last edits and their verdicts", "", runTableHistory),
+			sub("history", "show the latest edits and their verdicts", "", runTableHistory),
 			sub("verdict", "show the verdict on an edit", "EDIT-ID", runTableVerdict),
-			sub("revert", "take an accepted edit back, by a new edit", "EDIT-ID", runTableRevert, editFlags()...),
+			sub("revert", "undo an accepted edit with a new edit", "EDIT-ID", runTableRevert, editFlags()...),
 			sub("wait", "wait until every instance has a revision", "REVISION", runTableWait,
 				&cli.DurationFlag{Name: "timeout", Usage: "how long to wait", Value: 10 * time.Second}),
 		},
@@ -47,10 +47,10 @@
 
 func editFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "reason", Usage: "why, for the history", Required: true},
-		&cli.StringFlag{Name: "author", Usage: "who; your user name if left out"},
-		&cli.Uint64Flag{Name: "base", Usage: "the revision that was looked at; the one in force if left out"},
-		&cli.BoolFlag{Name: "dry-run", Usage: "only check, and show what would change"},
+		&cli.StringFlag{Name: "reason", Usage: "reason for the edit, recorded in the history", Required: true},
+		&cli.StringFlag{Name: "author", Usage: "author of the edit; default: your user name"},
+		&cli.Uint64Flag{Name: "base", Usage: "revision that the edit is based on; default: the one in force"},
+		&cli.BoolFlag{Name: "dry-run", Usage: "only check the edit and show what would change"},
 	}
 }
 
@@ -63,13 +63,13 @@
 
 func currentTable(ctx context.Context, command *cli.Command) (*table.Table, error) {
 	current := new(table.Table)
-	err := ask(ctx, command, operator.PathTable, current)
+	err := getJSON(ctx, command, operator.PathTable, current)
 	return current, err
 }
 
 func runTableShow(ctx context.Context, command *cli.Command) error {
 	var current table.Table
-	if err := ask(ctx, command, operator.PathTable, &current); err != nil {
+	if err := getJSON(ctx, command, operator.PathTable, &current); err != nil {
 		return err
 	}
 	out := command.Root().Writer
@@ -114,7 +114,7 @@
 	})
 }
 
-// parseCell reads KIND.ROW.COLUMN. A row's name may hold dots.
+// parseCell parses KIND.ROW.COLUMN. A row's name may contain dots.
 func parseCell(text string) (table.RowKey, table.Column, error) {
 	kind, rest, ok := strings.Cut(text, ".")
 	dot := strings.LastIndexByte(rest, '.')
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// fileChanges returns what would make the table what a file says.
+// fileChanges returns the changes that make the table match a TOML file.
 func fileChanges(ctx context.Context, command *cli.Command) ([]table.Change, error) {
 	file, err := oneArgument(command, "FILE")
 	if err != nil {
@@ -267,8 +267,8 @@
 	}
 }
 
-// submit checks an edit against the table in force, and sends it unless it is
-// a dry run.
+// submit checks an edit against the table in force and sends it, unless it is a
+// dry run.
 func submit(ctx context.Context, command *cli.Command, changes []table.Change) error {
 	out := command.Root().Writer
 	if len(changes) == 0 {
@@ -287,7 +287,7 @@
 		printChanges(out, command.Bool("json"), changes)
 		return nil
 	}
-	return send(ctx, command, edit)
+	return sendEdit(ctx, command, edit)
 }
 
 func newEdit(command *cli.Command, revision uint64, changes []table.Change) table.Edit {
@@ -306,16 +306,16 @@
 	return edit
 }
 
-// send puts an edit before an instance and reports its verdict truthfully:
-// accepted, refused, or not known yet.
-func send(ctx context.Context, command *cli.Command, edit table.Edit) error {
+// sendEdit sends an edit to an instance and reports the verdict: accepted, refused,
+// or not known yet. A failed request does not show that the edit was refused.
+func sendEdit(ctx context.Context, command *cli.Command, edit table.Edit) error {
 	c := httpjson.New(command.String("token"))
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	status, raw, err := c.Do(ctx, http.MethodPost, "http://"+command.String("operator")+operator.PathEdits, edit, nil)
 	if err != nil {
-		return errors.Errorf("not known yet: %v; ask with: mastwheel table verdict %s", err, edit.ID)
+		return errors.Errorf("not known yet: %v; query it with: mastwheel table verdict %s", err, edit.ID)
 	}
 	var verdict table.Verdict
 	if err := json.Unmarshal(raw, &verdict); err != nil {
@@ -325,13 +325,13 @@
 	case http.StatusOK, http.StatusConflict:
 		return printVerdict(command, verdict)
 	case http.StatusAccepted:
-		return errors.Errorf("%s; ask with: mastwheel table verdict %s", verdict.Why, edit.ID)
+		return errors.Errorf("%s; query it with: mastwheel table verdict %s", verdict.Why, edit.ID)
 	default:
 		return errors.Errorf("status %d: %s", status, strings.TrimSpace(string(raw)))
 	}
 }
 
-// sendTimeout is longer than an instance waits for a verdict.
+// sendTimeout is longer than the time for which an instance waits for a verdict.
 const sendTimeout = 8 * time.Second
 
 func printVerdict(command *cli.Command, verdict table.Verdict) error {
@@ -355,19 +355,19 @@
 	return printVerdict(command, verdict)
 }
 
-// namedVerdict gets the verdict on the edit that the command line names.
+// namedVerdict gets the verdict on the edit named on the command line.
 func namedVerdict(ctx context.Context, command *cli.Command) (verdict table.Verdict, err error) {
 	id, err := oneArgument(command, "EDIT-ID")
 	if err != nil {
 		return verdict, err
 	}
-	err = ask(ctx, command, operator.PathEdits+"/"+id, &verdict)
+	err = getJSON(ctx, command, operator.PathEdits+"/"+id, &verdict)
 	return verdict, err
 }
 
 func runTableHistory(ctx context.Context, command *cli.Command) error {
 	var history operator.History
-	if err := ask(ctx, command, operator.PathHistory, &history); err != nil {
+	if err := getJSON(ctx, command, operator.PathHistory, &history); err != nil {
 		return err
 	}
 	out := command.Root().Writer
@@ -395,7 +395,7 @@
 		return err
 	}
 	if !verdict.Accepted {
-		return errors.Errorf("edit %s was refused; there is nothing to take back", verdict.EditID)
+		return errors.Errorf("edit %s was refused; there is nothing to undo", verdict.EditID)
 	}
 	return submit(ctx, command, verdict.Undo)
 }
@@ -411,7 +411,7 @@
 	}
 	deadline := time.Now().Add(command.Duration("timeout"))
 	for {
-		missing, err := lacking(ctx, command, revision)
+		missing, err := instancesBehind(ctx, command, revision)
 		if err != nil {
 			return err
 		}
@@ -422,17 +422,19 @@
 		if time.Now().After(deadline) {
 			return errors.Errorf("revision %d is not known to be in force at: %s", revision, strings.Join(missing, ", "))
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(waitPollInterval)
 	}
 }
 
-// waitPoll is how often a waiting operator asks again.
-const waitPoll = 100 * time.Millisecond
+// waitPollInterval is the pause between two status requests while waiting for a
+// revision.
+const waitPollInterval = 100 * time.Millisecond
 
-// lacking names the instances that are not known to have a revision.
-func lacking(ctx context.Context, command *cli.Command, revision uint64) ([]string, error) {
+// instancesBehind returns the names of the instances that are not known to have a
+// revision.
+func instancesBehind(ctx context.Context, command *cli.Command, revision uint64) ([]string, error) {
 	var status operator.Status
-	if err := ask(ctx, command, operator.PathStatus, &status); err != nil {
+	if err := getJSON(ctx, command, operator.PathStatus, &status); err != nil {
 		return nil, err
 	}
 	var missing []string
--- a/cmd/mastwheel/try.go
+++ b/cmd/mastwheel/try.go
@@ -20,28 +20,28 @@
 func tryCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "try",
-		Usage: "run instances, stand-ins and sample traffic in one process, and check the promises",
+		Usage: "run instances, stand-ins and sample traffic in one process, and check the guarantees",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "deployment", Usage: "cooperativa or camara", Value: "cooperativa"},
 			&cli.IntFlag{Name: "instances", Usage: "number of instances", Value: 3},
-			&cli.DurationFlag{Name: "duration", Usage: "how long the traffic lasts", Value: 10 * time.Second},
+			&cli.DurationFlag{Name: "duration", Usage: "duration of the traffic", Value: 10 * time.Second},
 			&cli.Uint64Flag{Name: "seed", Usage: "seed of the traffic and the faults", Value: 1},
-			&cli.FloatFlag{Name: "load", Usage: "traffic as a multiple of the deployment's own", Value: 1},
+			&cli.FloatFlag{Name: "load", Usage: "traffic as a multiple of the deployment's default", Value: 1},
 			&cli.StringFlag{Name: "faults", Usage: "`LIST` of faults, or all"},
 			&cli.StringFlag{Name: "without", Usage: "`LIST` of protections to switch off: " + strings.Join(trial.ProtectionNames(), ", ")},
-			&cli.FloatFlag{Name: "leave", Usage: "part of callers that go away early; 0 for the deployment's own"},
-			&cli.DurationFlag{Name: "call-time", Usage: "how long a plain call takes; 0 for the deployment's own"},
-			&cli.IntFlag{Name: "answer", Usage: "mean answer in tokens; 0 for the deployment's own"},
-			&cli.BoolFlag{Name: "list-faults", Usage: "list the faults and stop"},
-			&cli.BoolFlag{Name: "platform", Usage: "against the stand-in of the users' platform, with its callers; uses instances, duration, seed and faults"},
-			&cli.BoolFlag{Name: "no-traffic", Usage: "leave the sample traffic out"},
+			&cli.FloatFlag{Name: "leave", Usage: "fraction of callers that disconnect early; 0 for the deployment's default"},
+			&cli.DurationFlag{Name: "call-time", Usage: "duration of a plain call; 0 for the deployment's default"},
+			&cli.IntFlag{Name: "answer", Usage: "mean length of an answer, in tokens; 0 for the deployment's default"},
+			&cli.BoolFlag{Name: "list-faults", Usage: "list the faults and exit"},
+			&cli.BoolFlag{Name: "platform", Usage: "run against the stand-in of the users' platform and its callers; uses --instances, --duration, --seed and --faults"},
+			&cli.BoolFlag{Name: "no-traffic", Usage: "send no sample traffic"},
 			jsonFlag(),
 		},
 		Action: runTry,
 	}
 }
 
-const mostInstances = 64
+const maxInstances = 64
 
 func runTry(ctx context.Context, command *cli.Command) error {
 	out := command.Root().Writer
@@ -116,8 +116,8 @@
 		return trial.Options{}, err
 	}
 	instances := command.Int("instances")
-	if instances < 1 || instances > mostInstances {
-		return trial.Options{}, errors.Errorf("--instances: %d is outside 1 to %d", instances, mostInstances)
+	if instances < 1 || instances > maxInstances {
+		return trial.Options{}, errors.Errorf("--instances: %d is outside 1 to %d", instances, maxInstances)
 	}
 	protect, err := trial.ProtectWithout(command.String("without"))
 	if err != nil {
@@ -140,7 +140,8 @@
 	return options, nil
 }
 
-// progressLine returns a function that rewrites one line as work goes on.
+// progressLine returns a function that shows the progress on one line, which it
+// overwrites at most every 200 ms.
 func progressLine(out io.Writer) func(ended, total int) {
 	var last time.Time
 	return func(ended, total int) {
@@ -186,7 +187,7 @@
 	}
 }
 
-// printJSON prints one value on one line.
+// printJSON prints a value as JSON on one line.
 func printJSON(out io.Writer, value any) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
