--- a/load/plan.go
+++ b/load/plan.go
@@ -1,5 +1,6 @@
-// Package load makes open-loop traffic: arrivals that do not wait for answers,
-// planned in advance from a seed, and measures what the callers saw.
+// Package load generates open-loop traffic and measures what its callers
+// observe. Requests are planned in advance from a seed and are sent at their
+// planned times, without waiting for earlier answers.
 package load
 
 import (
@@ -9,30 +10,32 @@
 	"time"
 )
 
-// Profile describes the traffic of one deployment.
+// Profile describes the traffic of a deployment.
 type Profile struct {
 	Model string
-	// Rate is the mean of model requests a second, PlainRate that of calls to
-	// the plain service.
+	// Rate is the mean number of model requests per second. PlainRate is the
+	// mean number of calls to the plain service per second.
 	Rate      float64
 	PlainRate float64
 	Service   string
-	// MedianPrompt is in tokens; lengths are log-normal with Spread, cut off
-	// at MostPrompt.
+	// MedianPrompt is the median length of a prompt in tokens. Lengths are
+	// log-normal: Spread is the standard deviation of their logarithm, and
+	// MostPrompt is the maximum.
 	MedianPrompt float64
 	Spread       float64
 	MostPrompt   int
-	// MeanAnswer is in tokens; lengths are uniform from half to one and a half.
+	// MeanAnswer is the mean length of an answer in tokens. Lengths are uniform
+	// from half to one and a half times the mean.
 	MeanAnswer int
-	// Templates is how many prompts share a beginning, TemplateTokens its
-	// length.
+	// Templates is the number of different prefixes that prompts share.
+	// TemplateTokens is the length of each.
 	Templates      int
 	TemplateTokens int
 	Teams          []string
-	// Flood is the part of the arrivals that are of the first team, beside its
-	// equal part of the rest.
+	// Flood is the fraction of the requests that the first team sends in
+	// addition to its equal part of the remaining requests.
 	Flood float64
-	// CancelShare is the part of callers that go away early.
+	// CancelShare is the fraction of model requests that their callers cancel.
 	CancelShare float64
 }
 
@@ -44,11 +47,12 @@
 	Prompt    string
 	MaxTokens int
 	Team      string
-	// CancelAfter, if not 0, is when the caller goes away.
+	// CancelAfter, if not 0, is the time after which the caller cancels.
 	CancelAfter time.Duration
 }
 
-// Plan makes the arrivals of that long a time.
+// Plan returns the requests to send during duration. The same profile, duration
+// and seed give the same plan.
 func Plan(p Profile, duration time.Duration, seed uint64) []Arrival {
 	random := rand.New(rand.NewPCG(seed, seed^0x5DEECE66D))
 	templates := makeTemplates(p, random)
@@ -80,13 +84,13 @@
 	tokens := int(p.MedianPrompt * math.Exp(p.Spread*random.NormFloat64()))
 	a.Prompt = prompt(templates[random.IntN(len(templates))], min(max(tokens, 16), p.MostPrompt), random)
 	if random.Float64() < p.CancelShare {
-		a.CancelAfter = time.Duration(random.Int64N(int64(mostPatience)))
+		a.CancelAfter = time.Duration(random.Int64N(int64(maxCancelAfter)))
 	}
 	return a
 }
 
-// mostPatience bounds how long an early leaver stays.
-const mostPatience = 4 * time.Second
+// maxCancelAfter bounds the time after which a caller cancels its request.
+const maxCancelAfter = 4 * time.Second
 
 // bytesPerToken is the usual average for text.
 const bytesPerToken = 4
--- a/load/run.go
+++ b/load/run.go
@@ -13,32 +13,33 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// Targets are the latency targets of the model service.
+// Targets holds the latency targets of the model service.
 type Targets struct {
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
 }
 
-// DefaultTargets are those of the brief's plan: 1.1 s and 41 ms.
+// DefaultTargets returns the targets that the project's requirements set: 1.1 s
+// to the first token and 41 ms between tokens.
 func DefaultTargets() Targets {
 	return Targets{FirstToken: 1100 * time.Millisecond, BetweenTokens: 41 * time.Millisecond}
 }
 
-// Options says how to run a plan.
+// Options configures a run of planned requests.
 type Options struct {
 	Profile  Profile
 	Arrivals []Arrival
 	Targets  Targets
-	// Callers is how many callers share the arrivals; each keeps an address of
-	// its own.
+	// Callers send the requests in turn. Each keeps its own instance address.
 	Callers []*client.Client
-	// Answer, if not nil, returns the right answer to a prompt.
+	// Answer, if not nil, returns the expected answer to a prompt, cut off after
+	// a number of tokens.
 	Answer func(prompt string, tokens int) string
-	// Progress, if not nil, is called as requests end.
+	// Progress, if not nil, is called whenever a request has ended.
 	Progress func(ended, total int)
 }
 
-// Entry is one line of the callers' ledger.
+// Entry records the result of one request as its caller observed it.
 type Entry struct {
 	RequestID string
 	Plain     bool
@@ -47,18 +48,19 @@
 	Reason    reason.Reason
 	Team      string
 	Good      bool
-	// Left is set when the caller went away by itself.
+	// Left is set if the caller cancelled the request.
 	Left bool
-	// Prompt is what was asked, and Ended when the caller was answered, lost
-	// its connection or went away.
+	// Prompt is the request's prompt. Ended is when the caller received the
+	// answer, lost its connection or cancelled the request.
 	Prompt string
 	Ended  time.Time
-	// Wrong is set when what arrived is not the right answer, or its begin.
+	// Wrong is set if the received text is neither the expected answer nor a
+	// prefix of it.
 	Wrong bool
 	At    time.Duration
 }
 
-// Report is what the callers saw.
+// Report holds the results that the callers observed.
 type Report struct {
 	Entries      []Entry
 	Duration     time.Duration
@@ -68,24 +70,26 @@
 }
 
 const (
-	// histogramMax is the longest time that is told apart, in microseconds.
-	histogramMax    = 60_000_000
-	histogramDigits = 3
+	// histogramMaxMicros is the longest latency that the histograms record, in
+	// microseconds.
+	histogramMaxMicros = 60_000_000
+	histogramDigits    = 3
 )
 
-// session gathers a report.
+// session collects the report of one run.
 type session struct {
 	options Options
 	mu      sync.Mutex
 	report  Report
 }
 
-// Run plays the arrivals and waits for every answer.
+// Run sends the requests at their planned times and waits until all have ended.
+// It sends no more once ctx is done.
 func Run(ctx context.Context, options Options) *Report {
 	s := &session{options: options, report: Report{
-		FirstToken:   hdrhistogram.New(1, histogramMax, histogramDigits),
-		BetweenToken: hdrhistogram.New(1, histogramMax, histogramDigits),
-		Call:         hdrhistogram.New(1, histogramMax, histogramDigits),
+		FirstToken:   hdrhistogram.New(1, histogramMaxMicros, histogramDigits),
+		BetweenToken: hdrhistogram.New(1, histogramMaxMicros, histogramDigits),
+		Call:         hdrhistogram.New(1, histogramMaxMicros, histogramDigits),
 	}}
 	started := time.Now()
 	var group sync.WaitGroup
@@ -94,27 +98,27 @@
 			break
 		}
 		from := options.Callers[n%len(options.Callers)]
-		group.Go(func() { s.one(ctx, from, arrival) })
+		group.Go(func() { s.send(ctx, from, arrival) })
 	}
 	group.Wait()
 	s.report.Duration = time.Since(started)
 	return &s.report
 }
 
-func (s *session) one(ctx context.Context, from *client.Client, arrival Arrival) {
+func (s *session) send(ctx context.Context, from *client.Client, arrival Arrival) {
 	if arrival.CancelAfter > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, arrival.CancelAfter)
 		defer cancel()
 	}
 	if arrival.Plain {
-		s.plain(ctx, from, arrival)
+		s.sendPlain(ctx, from, arrival)
 		return
 	}
-	s.model(ctx, from, arrival)
+	s.sendModel(ctx, from, arrival)
 }
 
-func (s *session) plain(ctx context.Context, from *client.Client, arrival Arrival) {
+func (s *session) sendPlain(ctx context.Context, from *client.Client, arrival Arrival) {
 	call := client.Call{Service: s.options.Profile.Service, Method: http.MethodGet, Path: "/lookup", Team: arrival.Team}
 	if arrival.Once {
 		call.Method, call.Path, call.Once = http.MethodPost, "/hold", true
@@ -125,14 +129,14 @@
 	if result.Outcome == reason.Done {
 		s.report.Call.RecordValue(result.Took.Microseconds())
 	}
-	s.keep(Entry{
+	s.addEntry(Entry{
 		RequestID: result.RequestID, Plain: true, Operation: result.Operation,
 		Outcome: result.Outcome, Reason: result.Reason, Team: arrival.Team, At: arrival.At,
 		Good: result.Outcome == reason.Done,
 	})
 }
 
-func (s *session) model(ctx context.Context, from *client.Client, arrival Arrival) {
+func (s *session) sendModel(ctx context.Context, from *client.Client, arrival Arrival) {
 	result := from.Complete(ctx, client.Completion{
 		Model: s.options.Profile.Model, Prompt: arrival.Prompt, MaxTokens: arrival.MaxTokens, Team: arrival.Team,
 	})
@@ -142,19 +146,19 @@
 		RequestID: result.RequestID, Outcome: result.Outcome, Reason: result.Reason,
 		Team: arrival.Team, At: arrival.At, Left: ctx.Err() != nil, Prompt: arrival.Prompt, Ended: time.Now(),
 	}
-	entry.Wrong = s.wrong(arrival, result)
+	entry.Wrong = s.wrongAnswer(arrival, result)
 	if result.Outcome == reason.Done {
 		s.report.FirstToken.RecordValue(result.FirstToken.Microseconds())
 		s.report.BetweenToken.RecordValue(result.Between.Microseconds())
 		targets := s.options.Targets
 		entry.Good = result.FirstToken <= targets.FirstToken && result.Between <= targets.BetweenTokens
 	}
-	s.keep(entry)
+	s.addEntry(entry)
 }
 
-// wrong says whether a whole answer is not the right one, or the begin of an
-// answer not the begin of the right one.
-func (s *session) wrong(arrival Arrival, result client.Result) bool {
+// wrongAnswer reports whether a complete answer differs from the expected one, or
+// a partial answer from the beginning of the expected one.
+func (s *session) wrongAnswer(arrival Arrival, result client.Result) bool {
 	if s.options.Answer == nil || result.Tokens == 0 {
 		return false
 	}
@@ -167,7 +171,7 @@
 	return result.Text != s.options.Answer(arrival.Prompt, result.Tokens)
 }
 
-func (s *session) keep(entry Entry) {
+func (s *session) addEntry(entry Entry) {
 	s.report.Entries = append(s.report.Entries, entry)
 	if s.options.Progress != nil {
 		s.options.Progress(len(s.report.Entries), len(s.options.Arrivals))
--- a/load/summary.go
+++ b/load/summary.go
@@ -4,28 +4,30 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// Summary is a report in a few figures.
+// Summary summarizes a report.
 type Summary struct {
 	Requests int `json:"requests"`
 	Done     int `json:"done"`
 	NotRun   int `json:"not_run"`
 	Unknown  int `json:"unknown"`
-	// Goodput is the share of model requests, early leavers left out, that were
-	// done within both targets; GoodputPerSecond is their rate.
+	// Goodput is the fraction of model requests that were done within both
+	// targets, not counting those that their callers cancelled. GoodputPerSecond
+	// is the rate of these requests.
 	Goodput          float64 `json:"goodput"`
 	GoodputPerSecond float64 `json:"goodput_per_s"`
 	FirstTokenP95    float64 `json:"ttft_p95_ms"`
 	BetweenP95       float64 `json:"tbt_p95_ms"`
 	CallP95          float64 `json:"call_p95_ms"`
-	// Left counts the callers that went away by themselves.
+	// Left counts the requests that their callers cancelled.
 	Left    int                   `json:"left"`
 	Reasons map[reason.Reason]int `json:"reasons"`
 }
 
-// p95 is the quantile of the targets: "for 95 in 100".
+// p95 is the percentile to which the targets apply: they hold for 95 in 100
+// requests.
 const p95 = 95
 
-// Summary sums a report up.
+// Summary returns the summary of the report.
 func (r *Report) Summary() Summary {
 	s := Summary{Reasons: make(map[reason.Reason]int)}
 	offered, good := 0, 0
