--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -60,12 +60,12 @@
 		Registry:    prometheus.NewRegistry(),
 		requests:    counters("requests_total", "Requests that ended, by outcome.", labelService, labelOutcome),
 		teams:       newTeamCounters(),
-		refusals:    counters("refusals_total", "Requests that ended with another outcome than done, by reason.", labelReason),
+		refusals:    counters("refusals_total", "Requests that ended other than done, by reason.", labelReason),
 		retries:     counters("retries_total", "Attempts that were followed by another, by reason.", labelReason),
-		serverExits: counters("server_ends_total", "Backend servers whose process was found to have exited while running requests of this instance, by service.", labelService),
-		withheld:    counter("log_requests_withheld_total", "Requests that were not logged because of the limit of log lines."),
+		serverExits: counters("server_ends_total", "Backend servers that were found to have ended with requests of this instance running, by service.", labelService),
+		withheld:    counter("log_requests_withheld_total", "Requests that were not logged, for the limit of log lines."),
 		storeCalls:  counters("store_calls_total", "Calls to the platform's store, by kind of call and outcome.", labelCall, labelOutcome),
-		notReturned: counters("not_returned_total", "Resources at backend servers that could not be released and expired, by kind.", "what"),
+		notReturned: counters("not_returned_total", "Things taken at backend servers that could not be given back, and lapsed.", "what"),
 		requestSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_seconds", Help: "Time from a request's arrival to its end.", Buckets: requestBuckets,
 		}, []string{labelService}),
@@ -143,7 +143,7 @@
 // because the client had no valid certificate.
 func (s *Set) CountStrangers(count func() int64) {
 	s.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
-		Namespace: namespace, Name: "peer_strangers_total", Help: "Sibling connections rejected because the client had no valid certificate.",
+		Namespace: namespace, Name: "peer_strangers_total", Help: "Sibling connections refused for want of a valid key.",
 	}, func() float64 { return float64(count()) }))
 }
 
--- a/metrics/teams.go
+++ b/metrics/teams.go
@@ -32,7 +32,7 @@
 func newTeamCounters() *teamCounters {
 	return &teamCounters{
 		requests: counters("team_requests_total", "Requests that ended, by team and outcome.", labelTeam, labelOutcome),
-		refusals: counters("team_refusals_total", "Requests that ended with another outcome than done, by team and reason.", labelTeam, labelReason),
+		refusals: counters("team_refusals_total", "Requests that ended other than done, by team and reason.", labelTeam, labelReason),
 	}
 }
 
