--- a/trial/bench_test.go
+++ b/trial/bench_test.go
@@ -12,9 +12,9 @@
 	"github.com/mastwheel/mastwheel/service"
 )
 
-// BenchmarkOverhead is what the router adds to a call: through one instance,
-// against the stand-in itself, in turn within one run. The ratio is through
-// over direct.
+// BenchmarkOverhead measures the time that the router adds to a call. Each
+// iteration makes the call directly to the stand-in and then through one
+// instance. The ratio is the time through the instance over the direct time.
 func BenchmarkOverhead(b *testing.B) {
 	deployment := Deployments["cooperativa"]
 	deployment.PlainTook = 0
@@ -48,7 +48,7 @@
 
 func (t *Trial) plainDirect() func(int) bool {
 	direct := service.NewHTTP()
-	address := t.world.addresses["plate-desk-1"]
+	address := t.env.addresses["plate-desk-1"]
 	return func(int) bool {
 		_, err := direct.Do(context.Background(), address, service.Call{Method: "GET", Path: "/lookup"})
 		return err == nil
@@ -66,10 +66,10 @@
 	benchTokens = 4
 )
 
-// modelDirect runs the engines' steps by hand, without any choice.
+// modelDirect calls the engines' steps directly, without selecting a server.
 func (t *Trial) modelDirect() func(int) bool {
 	engines := engine.NewHTTP()
-	prefill, decode := t.world.addresses["dossier-prefill-1"], t.world.addresses["dossier-decode-1"]
+	prefill, decode := t.env.addresses["dossier-prefill-1"], t.env.addresses["dossier-decode-1"]
 	return func(n int) bool {
 		ctx := context.Background()
 		attempt := engine.Attempt{RequestID: "direct", Number: n, Home: "bench.1"}
@@ -97,6 +97,6 @@
 
 func (t *Trial) modelThrough() func(int) bool {
 	c := client.NewWith(t.callerAddresses, "sabana")
-	ask := client.Completion{Model: "dossier", Prompt: benchPrompt, MaxTokens: benchTokens}
-	return func(int) bool { return c.Complete(context.Background(), ask).Outcome == reason.Done }
+	completion := client.Completion{Model: "dossier", Prompt: benchPrompt, MaxTokens: benchTokens}
+	return func(int) bool { return c.Complete(context.Background(), completion).Outcome == reason.Done }
 }
--- a/trial/check.go
+++ b/trial/check.go
@@ -9,13 +9,13 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// Violation is one broken promise, found in the ledgers.
+// Violation is one broken promise that the ledgers show.
 type Violation struct {
 	Promise string `json:"promise"`
 	Detail  string `json:"detail"`
 }
 
-// Promises that are checked.
+// Promises that each trial checks.
 const (
 	promiseOnce      = "a non-idempotent call runs at most once"
 	promiseNotRun    = "what is told not run did not run"
@@ -27,13 +27,13 @@
 	promiseSameTable = "an accepted change is in force everywhere"
 )
 
-// check compares the callers' ledger with those of the stand-ins.
+// check compares the callers' ledger with the ledgers of the stand-ins.
 func (t *Trial) check(report *load.Report, held HeldAfter) []Violation {
 	var found []Violation
 	note := func(promise, format string, args ...any) {
 		found = append(found, Violation{promise, fmt.Sprintf(format, args...)})
 	}
-	runs := t.world.plain.Runs()
+	runs := t.env.plain.Runs()
 	for operation, n := range runs {
 		if isOperation(operation) && n > 1 {
 			note(promiseOnce, "%s ran %d times", operation, n)
@@ -45,44 +45,46 @@
 		}
 		t.checkEntry(entry, runs, note)
 	}
-	if left := t.world.heldPieces(); left > 0 {
+	if left := t.env.heldPieces(); left > 0 {
 		note(promiseReleased, "%d pieces held after the traffic: %s", left, t.heldBy())
 	}
 	if bound := t.releaseBound(); held.WorstMillis > millis(bound) {
 		note(promiseReleased, "held for %.0f ms after the caller had gone, over the bound of %s", held.WorstMillis, bound)
 	}
-	for name, engine := range t.world.engines {
+	for name, engine := range t.env.engines {
 		if late := engine.Ledger().LateOrders; late > 0 {
 			note(promiseLeaving, "%s was sent %d orders", name, late)
 		}
 	}
-	if t.onlyPlanned() {
-		t.checkCutOff(report, note)
+	if t.onlyPlannedFaults() {
+		t.checkInterrupted(report, note)
 	}
 	t.checkTables(note)
 	return found
 }
 
 const (
-	// releaseAlive bounds the time to release while the caller's home lives.
-	releaseAlive = time.Second
-	// releaseFaulty bounds it when the home dies, or is frozen, and when
-	// engines are out of reach for a while.
-	releaseFaulty = quietTimeout
+	// releaseBoundHomeAlive bounds the time to release memory while the caller's home
+	// runs.
+	releaseBoundHomeAlive = time.Second
+	// releaseBoundHomeDown bounds it when the home is killed or suspended, and when
+	// engines are temporarily unreachable.
+	releaseBoundHomeDown = releaseTimeout
 )
 
-// releaseBound is the bound on held memory under the trial's faults.
+// releaseBound returns the bound on the time to release memory under the
+// trial's faults.
 func (t *Trial) releaseBound() time.Duration {
 	for _, fault := range t.options.Faults {
 		if fault.slowsRelease {
-			return releaseFaulty
+			return releaseBoundHomeDown
 		}
 	}
-	return releaseAlive
+	return releaseBoundHomeAlive
 }
 
-// onlyPlanned says whether the trial's faults are planned stops alone.
-func (t *Trial) onlyPlanned() bool {
+// onlyPlannedFaults reports whether the trial injects planned stops only.
+func (t *Trial) onlyPlannedFaults() bool {
 	for _, fault := range t.options.Faults {
 		if !fault.planned {
 			return false
@@ -91,7 +93,8 @@
 	return len(t.options.Faults) > 0
 }
 
-func (t *Trial) checkCutOff(report *load.Report, note func(string, string, ...any)) {
+// checkInterrupted reports each request that a planned stop interrupted.
+func (t *Trial) checkInterrupted(report *load.Report, note func(string, string, ...any)) {
 	for _, entry := range report.Entries {
 		if entry.Outcome == reason.Unknown && !entry.Left {
 			note(promiseDrain, "request %q ended %s (%s)", entry.RequestID, entry.Outcome, entry.Reason)
@@ -99,10 +102,10 @@
 	}
 }
 
-// heldBy lists what the engines hold, and for which homes.
+// heldBy lists the requests for which engines hold memory, with their homes.
 func (t *Trial) heldBy() string {
 	var held []string
-	for name, engine := range t.world.engines {
+	for name, engine := range t.env.engines {
 		for _, h := range engine.Ledger().HeldRequests {
 			held = append(held, fmt.Sprintf("%s at %s for home %s", h.RequestID, name, h.Home))
 		}
@@ -110,7 +113,8 @@
 	return strings.Join(held, ", ")
 }
 
-// isOperation tells an operation id from the target of a call without one.
+// isOperation reports whether a name is an operation ID. A call without an
+// operation ID is recorded under its target.
 func isOperation(name string) bool { return len(name) > 3 && name[:3] == "m1~" }
 
 func (t *Trial) checkEntry(entry load.Entry, runs map[string]int, note func(string, string, ...any)) {
@@ -119,7 +123,7 @@
 		note(promiseNotRun, "operation %s ran", entry.Operation)
 	case entry.Operation != "" && entry.Outcome == reason.Done && runs[entry.Operation] == 0:
 		note(promiseDone, "operation %s did not run", entry.Operation)
-	case !entry.Plain && entry.Outcome == reason.NotRun && entry.RequestID != "" && t.world.ran(entry.RequestID):
+	case !entry.Plain && entry.Outcome == reason.NotRun && entry.RequestID != "" && t.env.ran(entry.RequestID):
 		note(promiseNotRun, "request %s (%s) ran", entry.RequestID, entry.Reason)
 	}
 }
--- a/trial/deployment.go
+++ b/trial/deployment.go
@@ -1,7 +1,7 @@
-// Package trial runs a whole small system in one process on loopback:
-// instances, stand-ins of the platform, of model engines and of plain
-// services, and sample traffic. It checks the promises against the stand-ins'
-// and the callers' own ledgers.
+// Package trial runs a small complete system in one process on loopback. It
+// consists of instances, sample traffic, and stand-ins for the platform, for
+// model engines and for plain services. The package checks the promises against
+// the ledgers of the stand-ins and of the callers.
 package trial
 
 import (
@@ -16,24 +16,24 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Deployment is one of the users' deployments, in its size of today.
+// Deployment is one of the users' deployments at its current size.
 type Deployment struct {
 	Name  string
 	Zones []string
 	// Model and Plain name the services.
 	Model string
 	Plain string
-	// Prefill, Decode and Servers count workers and plain servers.
+	// Prefill and Decode count engines, Servers counts plain servers.
 	Prefill int
 	Decode  int
 	Servers int
-	// PlainTook is how long a plain call takes.
+	// PlainTook is the duration of a plain call.
 	PlainTook time.Duration
 	Traffic   load.Profile
 }
 
-// Deployments are those of the brief: nine workers and three plain servers
-// each, in three availability zones.
+// Deployments holds the users' deployments by name. Each has nine engines and
+// three plain servers in three availability zones.
 var Deployments = map[string]Deployment{
 	"cooperativa": {
 		Name:  "cooperativa",
@@ -63,29 +63,29 @@
 	},
 }
 
-// FindDeployment returns the deployment of that name.
+// FindDeployment returns the deployment with the given name.
 func FindDeployment(name string) (Deployment, error) {
 	deployment, ok := Deployments[name]
 	if !ok {
-		return Deployment{}, errors.Errorf("no deployment %q; there are cooperativa and camara", name)
+		return Deployment{}, errors.Errorf("unknown deployment %q: use cooperativa or camara", name)
 	}
 	return deployment, nil
 }
 
-// worker is one backend server of a deployment.
-type worker struct {
+// backendServer is one backend server of a deployment.
+type backendServer struct {
 	name string
 	zone string
 	pool string
 }
 
-// workers lists the backend servers, spread over the zones in turn.
-func (d Deployment) workers() []worker {
-	var all []worker
+// backendServers lists the backend servers, assigned to the zones round robin.
+func (d Deployment) backendServers() []backendServer {
+	var all []backendServer
 	add := func(count int, kind, pool string) {
 		for n := range count {
 			zone := d.Zones[n%len(d.Zones)]
-			all = append(all, worker{name: fmt.Sprintf("%s-%d", kind, n+1), zone: zone, pool: pool})
+			all = append(all, backendServer{name: fmt.Sprintf("%s-%d", kind, n+1), zone: zone, pool: pool})
 		}
 	}
 	add(d.Prefill, d.Model+"-prefill", d.prefillPool())
@@ -94,21 +94,21 @@
 	return all
 }
 
-// Workers names the model engines.
+// Workers returns the names of the model engines.
 func (d Deployment) Workers() []string {
-	return d.names(func(w worker) bool { return w.pool != d.plainPool() })
+	return d.names(func(s backendServer) bool { return s.pool != d.plainPool() })
 }
 
-// PlainServers names the servers of the plain service.
+// PlainServers returns the names of the plain service's servers.
 func (d Deployment) PlainServers() []string {
-	return d.names(func(w worker) bool { return w.pool == d.plainPool() })
+	return d.names(func(s backendServer) bool { return s.pool == d.plainPool() })
 }
 
-func (d Deployment) names(wanted func(worker) bool) []string {
+func (d Deployment) names(wanted func(backendServer) bool) []string {
 	var names []string
-	for _, w := range d.workers() {
-		if wanted(w) {
-			names = append(names, w.name)
+	for _, server := range d.backendServers() {
+		if wanted(server) {
+			names = append(names, server.name)
 		}
 	}
 	return names
@@ -118,14 +118,14 @@
 func (d Deployment) decodePool() string  { return d.Model + "-decode" }
 func (d Deployment) plainPool() string   { return d.Plain }
 
-// InstanceName names the n-th instance, counted from 0, and its zone.
+// InstanceName returns the name and zone of instance n, counted from 0.
 func (d Deployment) InstanceName(n int) (name, zone string) {
 	zone = d.Zones[n%len(d.Zones)]
 	return zone + "-" + strconv.Itoa(n/len(d.Zones)+1), zone
 }
 
-// FirstEdit is the edit that writes the whole table; addresses maps backend
-// servers to where they listen.
+// FirstEdit returns the edit that writes the whole table. addresses maps the
+// names of backend servers to the addresses on which they listen.
 func (d Deployment) FirstEdit(addresses map[string]string) table.Edit {
 	edit := table.Edit{ID: "first", Author: "trial", Reason: "first table of " + d.Name}
 	set := func(kind table.Kind, row string, column table.Column, value string) {
@@ -146,12 +146,12 @@
 	for _, team := range d.Traffic.Teams {
 		set(table.Team, team, table.ColShare, "1")
 	}
-	for _, w := range d.workers() {
-		set(table.Backend, w.name, table.ColPool, w.pool)
-		set(table.Backend, w.name, table.ColAddress, addresses[w.name])
-		set(table.Backend, w.name, table.ColZone, w.zone)
-		if w.pool == d.decodePool() {
-			set(table.Backend, w.name, table.ColPieces, strconv.Itoa(standin.DefaultEngine("").Pieces))
+	for _, server := range d.backendServers() {
+		set(table.Backend, server.name, table.ColPool, server.pool)
+		set(table.Backend, server.name, table.ColAddress, addresses[server.name])
+		set(table.Backend, server.name, table.ColZone, server.zone)
+		if server.pool == d.decodePool() {
+			set(table.Backend, server.name, table.ColPieces, strconv.Itoa(standin.DefaultEngine("").Pieces))
 		}
 	}
 	return edit
--- a/trial/held.go
+++ b/trial/held.go
@@ -9,8 +9,9 @@
 	"github.com/mastwheel/mastwheel/standin"
 )
 
-// HeldAfter says how long decode memory stayed held for callers that had gone:
-// left by themselves, or cut off by the death of their home.
+// HeldAfter reports how long decode memory stayed held for departed callers.
+// A caller departs when it disconnects, or when its home is killed and the
+// connection closes.
 type HeldAfter struct {
 	Callers int `json:"callers"`
 	// PieceSeconds is the mean per caller.
@@ -19,10 +20,11 @@
 	WorstMillis  float64 `json:"worst_ms"`
 }
 
-// heldAfter compares the callers' departures with the engines' memory.
+// heldAfter compares the callers' departures with the engines' records of held
+// memory.
 func (t *Trial) heldAfter(report *load.Report) HeldAfter {
 	holds := make(map[uint64][]standin.Hold)
-	for _, engine := range t.world.engines {
+	for _, engine := range t.env.engines {
 		for _, hold := range engine.Holds() {
 			holds[hold.Prompt] = append(holds[hold.Prompt], hold)
 		}
@@ -30,13 +32,13 @@
 	var after HeldAfter
 	var releases []time.Duration
 	for _, entry := range report.Entries {
-		if entry.Plain || !isGone(entry) {
+		if entry.Plain || !callerGone(entry) {
 			continue
 		}
 		after.Callers++
 		release := time.Duration(0)
 		for _, hold := range holds[standin.PromptHash(entry.Prompt)] {
-			late := lateness(hold, entry.Ended)
+			late := heldAfterGone(hold, entry.Ended)
 			release = max(release, late)
 			after.PieceSeconds += float64(hold.Pieces) * late.Seconds()
 		}
@@ -52,13 +54,13 @@
 	return after
 }
 
-// isGone says whether the caller left, or lost its connection.
-func isGone(entry load.Entry) bool {
+// callerGone reports whether the caller left or lost its connection.
+func callerGone(entry load.Entry) bool {
 	return entry.Left || (entry.Outcome == reason.Unknown && entry.Reason == reason.AnswerLost)
 }
 
-// lateness is how long the memory was held after the caller had gone.
-func lateness(hold standin.Hold, gone time.Time) time.Duration {
+// heldAfterGone returns how long the memory was held after the caller departed.
+func heldAfterGone(hold standin.Hold, gone time.Time) time.Duration {
 	until := hold.Until
 	if until.IsZero() {
 		until = time.Now()
--- a/trial/node.go
+++ b/trial/node.go
@@ -23,16 +23,16 @@
 	"github.com/mastwheel/mastwheel/weightstore"
 )
 
-// Tokens are the operators' tokens of every trial.
+// Tokens holds the operator tokens that every trial uses.
 var Tokens = operator.Tokens{Read: "trial-read-token", Edit: "trial-edit-token"}
 
-// node is one instance of a trial, with what is needed to kill it.
+// node is one instance of a trial, with the handles needed to kill it.
 type node struct {
 	name      string
 	zone      string
 	caller    string
 	operator  string
-	line      *standin.Lifeline
+	lifeline  *standin.Lifeline
 	daemon    *daemon.Daemon
 	listeners []*trackedListener
 	finished  chan error
@@ -40,12 +40,12 @@
 	closers   []func()
 }
 
-// trackedListener remembers its connections, to cut them off on a kill.
+// trackedListener records its connections so that a kill can close them.
 type trackedListener struct {
 	net.Listener
-	line  *standin.Lifeline
-	mu    sync.Mutex
-	conns []net.Conn
+	lifeline *standin.Lifeline
+	mu       sync.Mutex
+	conns    []net.Conn
 }
 
 // Accept implements net.Listener.
@@ -57,24 +57,24 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.conns = append(t.conns, conn)
-	return mortalConn{conn, t.line}, nil
+	return killableConn{conn, t.lifeline}, nil
 }
 
-// mortalConn sends nothing once its instance was killed.
-type mortalConn struct {
+// killableConn sends nothing after its instance is killed.
+type killableConn struct {
 	net.Conn
-	line *standin.Lifeline
+	lifeline *standin.Lifeline
 }
 
 // Write implements net.Conn.
-func (c mortalConn) Write(p []byte) (int, error) {
-	if err := c.line.Context().Err(); err != nil {
+func (c killableConn) Write(p []byte) (int, error) {
+	if err := c.lifeline.Context().Err(); err != nil {
 		return 0, errors.Wrap(err, "instance was killed")
 	}
 	return c.Conn.Write(p)
 }
 
-func (t *trackedListener) cutOff() {
+func (t *trackedListener) closeAll() {
 	t.Listener.Close()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,11 +83,11 @@
 	}
 }
 
-// nodeOptions says what to start.
+// nodeOptions configures a node.
 type nodeOptions struct {
 	name      string
 	zone      string
-	world     *world
+	env       *environment
 	authority *peer.Authority
 	random    *rand.Rand
 	protect   request.Protections
@@ -102,18 +102,18 @@
 	if err != nil {
 		return nil, err
 	}
-	line := standin.NewLifeline()
-	callers, err := listenTracked(line)
+	lifeline := standin.NewLifeline()
+	callers, err := listenTracked(lifeline)
 	if err != nil {
 		return nil, err
 	}
-	operators, err := listenTracked(line)
+	operators, err := listenTracked(lifeline)
 	if err != nil {
 		return nil, err
 	}
 	n := &node{
 		name: o.name, zone: o.zone, caller: callers.Addr().String(), operator: operators.Addr().String(),
-		line: line, listeners: []*trackedListener{callers, operators}, finished: make(chan error, 1),
+		lifeline: lifeline, listeners: []*trackedListener{callers, operators}, finished: make(chan error, 1),
 	}
 	config := instance.DefaultRegion()
 	config.Name, config.Zone, config.Caller, config.Peer = o.name, o.zone, n.caller, transport.Address()
@@ -123,12 +123,12 @@
 	n.daemon = daemon.New(daemon.Options{
 		Config: config,
 		Deps: instance.Deps{
-			Engines:  n.line.Engines(engineClient),
-			Services: n.line.Services(service.NewHTTP()),
-			Log:      n.line.Log(oplog.NewHTTP(o.world.platform)),
-			List:     n.line.List(instancelist.NewHTTP(o.world.platform)),
-			Peers:    n.line.Peers(transport),
-			Weights:  weightstore.NewHTTP(o.world.platform),
+			Engines:  n.lifeline.Engines(engineClient),
+			Services: n.lifeline.Services(service.NewHTTP()),
+			Log:      n.lifeline.Log(oplog.NewHTTP(o.env.platform)),
+			List:     n.lifeline.List(instancelist.NewHTTP(o.env.platform)),
+			Peers:    n.lifeline.Peers(transport),
+			Weights:  weightstore.NewHTTP(o.env.platform),
 			Random:   standin.LockedRandom(o.random),
 		},
 		Limits:       caller.DefaultLimits(),
@@ -138,50 +138,50 @@
 		Operators:    operators,
 		DrainTimeout: daemon.DefaultDrainTimeout,
 	})
-	n.run(o.world)
+	n.run(o.env)
 	return n, nil
 }
 
-func listenTracked(line *standin.Lifeline) (*trackedListener, error) {
+func listenTracked(lifeline *standin.Lifeline) (*trackedListener, error) {
 	listener, err := listenLoopback()
 	if err != nil {
 		return nil, err
 	}
-	return &trackedListener{Listener: listener, line: line}, nil
+	return &trackedListener{Listener: listener, lifeline: lifeline}, nil
 }
 
-func (n *node) run(w *world) {
+func (n *node) run(env *environment) {
 	stop, drain := context.WithCancel(context.Background())
 	n.drain = drain
-	w.list.Set(instancelist.Entry{
+	env.list.Set(instancelist.Entry{
 		Name: n.name, Zone: n.zone, Peer: n.daemon.Instance.Info().Peer, State: instancelist.Live,
 	})
-	go func() { n.finished <- n.daemon.Run(n.line.Context(), stop) }()
+	go func() { n.finished <- n.daemon.Run(n.lifeline.Context(), stop) }()
 }
 
-// kill ends the instance at once: it sends nothing more, and its callers'
-// connections break.
+// kill stops the instance abruptly. It sends nothing more, and its callers'
+// connections are closed.
 func (n *node) kill() {
-	n.line.Kill()
+	n.lifeline.Kill()
 	for _, listener := range n.listeners {
-		listener.cutOff()
+		listener.closeAll()
 	}
 	<-n.finished
 	n.close()
 }
 
-// pause freezes the instance towards everything outside for a while.
+// pause suspends the instance's communication with everything outside it for d.
 func (n *node) pause(d time.Duration) {
-	n.line.Pause()
+	n.lifeline.Pause()
 	time.Sleep(d)
-	n.line.Resume()
+	n.lifeline.Resume()
 }
 
-// shutdown stops the instance gracefully and waits for the end.
+// shutdown stops the instance gracefully and waits until it has stopped.
 func (n *node) shutdown() error {
 	n.drain()
 	err := <-n.finished
-	n.line.Kill()
+	n.lifeline.Kill()
 	n.close()
 	return errors.WithMessage(err, "graceful shutdown")
 }
--- a/trial/protections.go
+++ b/trial/protections.go
@@ -9,8 +9,9 @@
 	"github.com/mastwheel/mastwheel/request"
 )
 
-// switches names the protections that a trial can do without.
-var switches = map[string]func(*request.Protections){
+// disableFuncs maps the name of each protection that can be switched off to the
+// function that switches it off.
+var disableFuncs = map[string]func(*request.Protections){
 	"witness": func(p *request.Protections) { p.Witness = false },
 	"once":    func(p *request.Protections) { p.Once = false },
 	"match":   func(p *request.Protections) { p.Match = false },
@@ -20,26 +21,28 @@
 	"drain":   func(p *request.Protections) { p.Drain = false },
 }
 
-// ProtectionNames lists the protections that can be switched off.
+// ProtectionNames returns the sorted names of the protections that can be
+// switched off.
 func ProtectionNames() []string {
-	names := make([]string, 0, len(switches))
-	for name := range switches {
+	names := make([]string, 0, len(disableFuncs))
+	for name := range disableFuncs {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
 }
 
-// ProtectWithout returns every protection but those of a list of names.
+// ProtectWithout returns all protections except those in a comma-separated list
+// of names.
 func ProtectWithout(list string) (request.Protections, error) {
 	protect := request.AllProtections()
 	if list == "" {
 		return protect, nil
 	}
 	for _, name := range strings.Split(list, ",") {
-		off, ok := switches[name]
+		off, ok := disableFuncs[name]
 		if !ok {
-			return protect, errors.Errorf("no protection %q; there are %v", name, ProtectionNames())
+			return protect, errors.Errorf("unknown protection %q: known protections are %v", name, ProtectionNames())
 		}
 		off(&protect)
 	}
--- a/trial/standins.go
+++ b/trial/standins.go
@@ -2,27 +2,27 @@
 
 import "github.com/mastwheel/mastwheel/instancelist"
 
-// Standins is the stand-ins of a deployment alone, for instances that run as
-// processes of their own.
-type Standins struct{ world *world }
+// Standins holds the stand-ins of a deployment without instances. The instances
+// run as separate processes.
+type Standins struct{ env *environment }
 
-// StartStandins starts them. platform is where the log and the instance list
-// listen; instances are shown on the list.
+// StartStandins starts the stand-ins of a deployment. platform is the address on
+// which the log and the instance list listen. The instance list shows instances.
 func StartStandins(deployment Deployment, platform string, instances []instancelist.Entry) (*Standins, error) {
-	w, err := newWorld(deployment, platform)
+	env, err := newEnvironment(deployment, platform)
 	if err != nil {
 		return nil, err
 	}
 	for _, entry := range instances {
-		w.list.Set(entry)
+		env.list.Set(entry)
 	}
-	return &Standins{world: w}, nil
+	return &Standins{env: env}, nil
 }
 
-// Addresses says where the stand-ins listen.
+// Addresses returns the addresses on which the stand-ins listen.
 func (s *Standins) Addresses() Addresses {
-	return Addresses{Platform: s.world.platform, Backends: s.world.addresses}
+	return Addresses{Platform: s.env.platform, Backends: s.env.addresses}
 }
 
-// Stop ends them.
-func (s *Standins) Stop() { s.world.stop() }
+// Stop stops the stand-ins.
+func (s *Standins) Stop() { s.env.stop() }
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -17,7 +17,7 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// Options says what to try.
+// Options configures a trial.
 type Options struct {
 	Deployment Deployment
 	Instances  int
@@ -27,15 +27,16 @@
 	// Load scales the traffic; 1 is the deployment's own rate.
 	Load   float64
 	Faults []Fault
-	// Leave, if not 0, replaces the part of callers that go away early.
+	// Leave, if not 0, replaces the deployment's share of callers that
+	// disconnect early.
 	Leave float64
-	// Protect says which protections are on.
+	// Protect selects the protections that are on.
 	Protect request.Protections
 	// Progress, if not nil, is called as requests end.
 	Progress func(ended, total int)
 }
 
-// Addresses is where the parts of a trial listen.
+// Addresses holds the addresses on which the components of a trial listen.
 type Addresses struct {
 	Callers   map[string]string `json:"callers"`
 	Operators map[string]string `json:"operators"`
@@ -48,7 +49,8 @@
 // Summary is the result of a trial.
 type Summary struct {
 	load.Summary
-	// WastedPrefill is the share of read prompt tokens that were read in vain.
+	// WastedPrefill is the share of prefilled prompt tokens whose result was
+	// not used.
 	WastedPrefill float64          `json:"wasted_prefill"`
 	WastedByCause map[string]int64 `json:"wasted_by_cause"`
 	HeldPieces    int              `json:"held_pieces_at_end"`
@@ -61,37 +63,39 @@
 // Trial is a running system.
 type Trial struct {
 	options   Options
-	world     *world
+	env       *environment
 	authority *peer.Authority
 	random    *rand.Rand
 	// nodes are the running instances by name; mu guards them.
-	mu     sync.Mutex
-	nodes  map[string]*node
-	order  []string
-	named  int
-	counts map[string]int
-	// background waits for faults that go on beside the others.
+	mu    sync.Mutex
+	nodes map[string]*node
+	order []string
+	// nextIndex is the index of the next new instance name.
+	nextIndex   int
+	faultCounts map[string]int
+	// background waits for faults that run concurrently with later ones.
 	background sync.WaitGroup
 }
 
 // startTimeout bounds the time until every instance is ready.
 const startTimeout = 15 * time.Second
 
-// Start brings the system up.
+// Start starts the stand-ins and the instances, and waits until the instances
+// are ready.
 func Start(options Options) (*Trial, error) {
 	authority, err := peer.NewAuthority()
 	if err != nil {
 		return nil, err
 	}
-	w, err := newWorld(options.Deployment, anyLoopback)
+	env, err := newEnvironment(options.Deployment, anyLoopback)
 	if err != nil {
 		return nil, err
 	}
 	t := &Trial{
-		options: options, world: w, authority: authority,
-		random: rand.New(rand.NewPCG(options.Seed, 1)),
-		nodes:  make(map[string]*node),
-		counts: make(map[string]int),
+		options: options, env: env, authority: authority,
+		random:      rand.New(rand.NewPCG(options.Seed, 1)),
+		nodes:       make(map[string]*node),
+		faultCounts: make(map[string]int),
 	}
 	for range options.Instances {
 		name, zone := t.nextName()
@@ -110,7 +114,7 @@
 func (t *Trial) startNode(name, zone string) error {
 	random := rand.New(rand.NewPCG(t.random.Uint64(), t.random.Uint64()))
 	n, err := startNode(nodeOptions{
-		name: name, zone: zone, world: t.world, authority: t.authority, random: random, protect: t.options.Protect,
+		name: name, zone: zone, env: t.env, authority: t.authority, random: random, protect: t.options.Protect,
 	})
 	if err != nil {
 		return err
@@ -124,14 +128,15 @@
 	return nil
 }
 
-// nextName names an instance that was not there before.
+// nextName returns the name and zone of the next new instance.
 func (t *Trial) nextName() (name, zone string) {
-	name, zone = t.options.Deployment.InstanceName(t.named)
-	t.named++
+	name, zone = t.options.Deployment.InstanceName(t.nextIndex)
+	t.nextIndex++
 	return name, zone
 }
 
-// running returns the running instances in the order in which they came.
+// running returns the running instances in the order in which they
+// were first started.
 func (t *Trial) running() []*node {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,7 +147,7 @@
 	return nodes
 }
 
-// remove drops an instance that is stopping.
+// remove takes a stopping instance off the list of running instances.
 func (t *Trial) remove(n *node) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -150,7 +155,8 @@
 	t.order = slices.DeleteFunc(t.order, func(name string) bool { return name == n.name })
 }
 
-// callerAddresses returns where the running instances serve callers.
+// callerAddresses returns the addresses on which the running instances serve
+// callers.
 func (t *Trial) callerAddresses() []string {
 	var addresses []string
 	for _, n := range t.running() {
@@ -159,7 +165,8 @@
 	return addresses
 }
 
-// awaitReady waits until every instance has the table and sees the others.
+// awaitReady waits until every instance has the table and lists the others as
+// serving.
 func (t *Trial) awaitReady() error {
 	deadline := time.Now().Add(startTimeout)
 	for time.Now().Before(deadline) {
@@ -174,19 +181,19 @@
 func (t *Trial) ready() bool {
 	nodes := t.running()
 	for _, n := range nodes {
-		of := n.daemon.Instance
-		if of.Ready() != nil || len(of.Members().Serving()) < len(nodes)-1 {
+		inst := n.daemon.Instance
+		if inst.Ready() != nil || len(inst.Members().Serving()) < len(nodes)-1 {
 			return false
 		}
 	}
 	return true
 }
 
-// Addresses says where everything listens.
+// Addresses returns the addresses on which the components listen.
 func (t *Trial) Addresses() Addresses {
 	a := Addresses{
 		Callers: make(map[string]string), Operators: make(map[string]string),
-		Platform: t.world.platform, Backends: t.world.addresses, Token: Tokens.Edit,
+		Platform: t.env.platform, Backends: t.env.addresses, Token: Tokens.Edit,
 	}
 	for _, n := range t.running() {
 		a.Callers[n.name] = n.caller
@@ -195,15 +202,15 @@
 	return a
 }
 
-// callersPerZone is how many callers with an address of their own the sample
-// traffic has in each zone.
+// callersPerZone is the number of callers with their own address that the
+// sample traffic has in each zone.
 const callersPerZone = 8
 
-// quietTimeout bounds the time after the traffic in which what departed
-// callers held must be released.
-const quietTimeout = 12 * time.Second
+// releaseTimeout bounds the time after the traffic within which memory held for
+// departed callers must be released.
+const releaseTimeout = 12 * time.Second
 
-// Run plays the traffic and the faults, and checks the ledgers.
+// Run runs the traffic, injects the faults, and checks the ledgers.
 func (t *Trial) Run(ctx context.Context) (*Summary, error) {
 	var report *load.Report
 	if t.options.Traffic {
@@ -212,8 +219,8 @@
 		wait.For(ctx, t.options.Duration)
 		report = load.Run(ctx, load.Options{})
 	}
-	t.awaitQuiet()
-	return t.sumUp(report), nil
+	t.awaitMemoryRelease()
+	return t.summarize(report), nil
 }
 
 func (t *Trial) traffic(ctx context.Context) *load.Report {
@@ -233,7 +240,7 @@
 	faultsDone := make(chan struct{})
 	go func() {
 		defer close(faultsDone)
-		t.playFaults(faultCtx)
+		t.injectFaults(faultCtx)
 	}()
 	report := load.Run(ctx, load.Options{
 		Profile:  profile,
@@ -259,37 +266,37 @@
 	return callers
 }
 
-// awaitQuiet waits until nothing is held any more.
-func (t *Trial) awaitQuiet() {
-	deadline := time.Now().Add(quietTimeout)
-	for time.Now().Before(deadline) && t.world.heldPieces() > 0 {
+// awaitMemoryRelease waits until no decode memory is held, for at most releaseTimeout.
+func (t *Trial) awaitMemoryRelease() {
+	deadline := time.Now().Add(releaseTimeout)
+	for time.Now().Before(deadline) && t.env.heldPieces() > 0 {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func (t *Trial) sumUp(report *load.Report) *Summary {
-	s := &Summary{Summary: report.Summary(), HeldPieces: t.world.heldPieces(), Faults: t.counts}
+func (t *Trial) summarize(report *load.Report) *Summary {
+	s := &Summary{Summary: report.Summary(), HeldPieces: t.env.heldPieces(), Faults: t.faultCounts}
 	s.HeldAfter = t.heldAfter(report)
-	read, wasted := t.world.prefillTokens()
+	prefilled, wasted := t.env.prefillTokens()
 	s.WastedByCause = wasted
 	total := int64(0)
 	for _, tokens := range wasted {
 		total += tokens
 	}
-	if read > 0 {
-		s.WastedPrefill = float64(total) / float64(read)
+	if prefilled > 0 {
+		s.WastedPrefill = float64(total) / float64(prefilled)
 	}
 	s.Found = t.check(report, s.HeldAfter)
 	s.Violations = len(s.Found)
 	return s
 }
 
-// Stop ends everything.
+// Stop kills the instances and stops the stand-ins.
 func (t *Trial) Stop() {
 	var group sync.WaitGroup
 	for _, n := range t.running() {
 		group.Go(n.kill)
 	}
 	group.Wait()
-	t.world.stop()
+	t.env.stop()
 }
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -7,8 +7,8 @@
 	"github.com/mastwheel/mastwheel/request"
 )
 
-// A short trial under every fault finds no violation.
-func TestTrialHoldsItsPromises(t *testing.T) {
+// A short trial with every fault enabled finds no violation.
+func TestTrialFindsNoViolation(t *testing.T) {
 	for _, deployment := range []string{"cooperativa", "camara"} {
 		t.Run(deployment, func(t *testing.T) {
 			summary := runTrial(t, Options{
--- a/trial/world.go
+++ b/trial/world.go
@@ -11,30 +11,32 @@
 	"github.com/mastwheel/mastwheel/standin"
 )
 
-// listLag is how late the instance list shows a change.
+// listLag is the delay with which the instance list shows a change.
 const listLag = 1500 * time.Millisecond
 
 // weightsBytes is the size of the model's weights at the weight store.
 const weightsBytes = 140_000_000_000
 
-// world is the stand-ins of one trial, each behind HTTP on loopback.
-type world struct {
+// environment holds the stand-ins of one trial, each served over HTTP on
+// loopback.
+type environment struct {
 	deployment Deployment
 	log        *standin.Log
 	list       *standin.List
 	weights    *standin.Weights
 	farm       *standin.Farm
 	plain      *standin.Plain
-	// engines and addresses are by the backend server's name.
+	// engines and addresses are keyed by the backend server's name.
 	engines   map[string]*standin.Engine
 	addresses map[string]string
 	platform  string
 	stops     []func()
 }
 
-// newWorld starts the stand-ins; platform is where the platform listens.
-func newWorld(deployment Deployment, platform string) (*world, error) {
-	w := &world{
+// newEnvironment starts the stand-ins. platform is the address on which the
+// platform's stand-in listens.
+func newEnvironment(deployment Deployment, platform string) (*environment, error) {
+	env := &environment{
 		deployment: deployment,
 		log:        standin.NewLog(),
 		list:       standin.NewList(listLag),
@@ -44,61 +46,61 @@
 		engines:    make(map[string]*standin.Engine),
 		addresses:  make(map[string]string),
 	}
-	if err := w.start(platform); err != nil {
-		w.stop()
+	if err := env.start(platform); err != nil {
+		env.stop()
 		return nil, err
 	}
-	return w, nil
+	return env, nil
 }
 
-func (w *world) start(platform string) error {
+func (env *environment) start(platform string) error {
 	listener, err := net.Listen("tcp", platform)
 	if err != nil {
 		return errors.Wrap(err, "listen for the platform's stand-in")
 	}
-	w.platform = listener.Addr().String()
-	w.stops = append(w.stops, standin.Serve(listener, standin.PlatformHandler(w.log, w.list, w.weights)))
-	for _, worker := range w.deployment.workers() {
-		if err := w.startWorker(worker); err != nil {
+	env.platform = listener.Addr().String()
+	env.stops = append(env.stops, standin.Serve(listener, standin.PlatformHandler(env.log, env.list, env.weights)))
+	for _, server := range env.deployment.backendServers() {
+		if err := env.startServer(server); err != nil {
 			return err
 		}
 	}
-	return w.writeTable()
+	return env.writeTable()
 }
 
-func (w *world) startWorker(worker worker) error {
+func (env *environment) startServer(server backendServer) error {
 	listener, err := listenLoopback()
 	if err != nil {
 		return err
 	}
 	address := listener.Addr().String()
-	w.addresses[worker.name] = address
-	if worker.pool == w.deployment.plainPool() {
-		w.stops = append(w.stops, standin.Serve(listener, standin.PlainHandler(w.plain, address)))
+	env.addresses[server.name] = address
+	if server.pool == env.deployment.plainPool() {
+		env.stops = append(env.stops, standin.Serve(listener, standin.PlainHandler(env.plain, address)))
 		return nil
 	}
-	engine := w.farm.Add(address, standin.DefaultEngine(worker.name))
-	w.engines[worker.name] = engine
-	w.stops = append(w.stops, standin.Serve(listener, standin.EngineHandler(engine)))
+	engine := env.farm.Add(address, standin.DefaultEngine(server.name))
+	env.engines[server.name] = engine
+	env.stops = append(env.stops, standin.Serve(listener, standin.EngineHandler(engine)))
 	return nil
 }
 
-func (w *world) writeTable() error {
-	record, err := json.Marshal(w.deployment.FirstEdit(w.addresses))
+func (env *environment) writeTable() error {
+	record, err := json.Marshal(env.deployment.FirstEdit(env.addresses))
 	if err != nil {
 		return errors.Wrap(err, "encode first table")
 	}
-	_, err = w.log.Append(context.Background(), record)
+	_, err = env.log.Append(context.Background(), record)
 	return errors.Wrap(err, "write first table")
 }
 
-func (w *world) stop() {
-	for _, stop := range w.stops {
+func (env *environment) stop() {
+	for _, stop := range env.stops {
 		stop()
 	}
 }
 
-// anyLoopback is a free port on loopback.
+// anyLoopback is the listen address for any free port on loopback.
 const anyLoopback = "127.0.0.1:0"
 
 func listenLoopback() (net.Listener, error) {
@@ -106,31 +108,32 @@
 	return listener, errors.Wrap(err, "listen on loopback")
 }
 
-// heldPieces counts the decode memory that is held anywhere.
-func (w *world) heldPieces() int {
+// heldPieces counts the decode memory pieces held on all engines.
+func (env *environment) heldPieces() int {
 	held := 0
-	for _, engine := range w.engines {
+	for _, engine := range env.engines {
 		held += engine.Ledger().HeldPieces
 	}
 	return held
 }
 
-// prefillTokens counts the prompt tokens that were read, and those in vain.
-func (w *world) prefillTokens() (read int64, wasted map[string]int64) {
+// prefillTokens counts the prefilled prompt tokens, and those whose result was
+// not used, by cause.
+func (env *environment) prefillTokens() (prefilled int64, wasted map[string]int64) {
 	wasted = make(map[string]int64)
-	for _, engine := range w.engines {
+	for _, engine := range env.engines {
 		ledger := engine.Ledger()
-		read += ledger.PrefillTokens
+		prefilled += ledger.PrefillTokens
 		for cause, tokens := range ledger.WastedTokens {
 			wasted[cause] += tokens
 		}
 	}
-	return read, wasted
+	return prefilled, wasted
 }
 
-// ran says whether any engine began to work on a request.
-func (w *world) ran(requestID string) bool {
-	for _, engine := range w.engines {
+// ran reports whether any engine began to work on a request.
+func (env *environment) ran(requestID string) bool {
+	for _, engine := range env.engines {
 		if engine.Ran(requestID) {
 			return true
 		}
