--- a/capacity/experiments.go
+++ b/capacity/experiments.go
@@ -49,12 +49,14 @@
 	{"request_cpu", "ns", "token of the answer", []int{1, 60, 245, 1000}, requestCPU},
 }
 
-// Run measures every slope. progress, if not nil, hears each name first.
+// Run measures every slope. progress, if not nil, is called with each name before
+// its measurement.
 func Run(progress func(name string)) ([]Slope, error) {
 	if progress != nil {
 		progress("wire")
 	}
-	// First, while no large heap is there for the collector to look after.
+	// Measured first, before a large heap makes the garbage collector use
+	// processor time.
 	slopes, err := measureWire()
 	if err != nil {
 		return nil, err
@@ -79,9 +81,9 @@
 	}
 }
 
-func heartbeatOf(workers int) *peer.Message {
+func heartbeatOf(servers int) *peer.Message {
 	beat := &peer.Heartbeat{Info: infoOf(1).Brief()}
-	for n := range workers {
+	for n := range servers {
 		beat.Loads = append(beat.Loads, peer.ServerLoad{
 			ID: route.ServerID(fmt.Sprintf("dossier-decode-%04d", n)), WaitingTokens: 12_000, Running: 18, FreePieces: 4,
 		})
@@ -89,8 +91,8 @@
 	return &peer.Message{Heartbeat: beat}
 }
 
-func heartbeatBytes(workers int) float64 {
-	encoded, err := peer.Encode(heartbeatOf(workers))
+func heartbeatBytes(servers int) float64 {
+	encoded, err := peer.Encode(heartbeatOf(servers))
 	if err != nil {
 		panic("capacity: " + err.Error())
 	}
@@ -108,7 +110,7 @@
 func heartbeatCPU(size int) float64 {
 	m := membersOf(size)
 	info := infoOf(1)
-	return nanos(func() {
+	return nanosPerCall(func() {
 		info.Uptime++
 		m.Heard(info, time.Unix(1, 0))
 	})
@@ -118,7 +120,8 @@
 	return heapBytes(func() any { return membersOf(size) })
 }
 
-// poolOf makes the view and fleet of that many decode engines with reports.
+// poolOf returns a fleet and a pool of size decode engines, each with a load
+// report.
 func poolOf(size int) (*route.Fleet, []*table.BackendView) {
 	view := &table.View{Backends: make(map[string]*table.BackendView)}
 	pool := make([]*table.BackendView, size)
@@ -146,7 +149,7 @@
 	fleet, pool := poolOf(size)
 	profile := route.DecodeProfile()
 	query := &route.Query{RequestID: "sabana-1.x.1", Zone: "zone-1", PromptTokens: 3000, Pieces: 2, Now: time.Unix(1, 0)}
-	return nanos(func() { profile.Decide(query, fleet, pool) })
+	return nanosPerCall(func() { profile.Decide(query, fleet, pool) })
 }
 
 func ownerCPU(size int) float64 {
@@ -154,7 +157,7 @@
 	for n := range names {
 		names[n] = infoOf(n).Name
 	}
-	return nanos(func() { route.Owner("dossier-decode-0017", names) })
+	return nanosPerCall(func() { route.Owner("dossier-decode-0017", names) })
 }
 
 func stewardCPU(size int) float64 {
@@ -164,11 +167,11 @@
 	for n := range size {
 		held[route.HoldKey{RequestID: fmt.Sprint(n)}] = 2
 	}
-	ask := route.Ask{HoldKey: route.HoldKey{RequestID: "r"}, Pieces: 2, TTL: time.Second}
+	reservation := route.Ask{HoldKey: route.HoldKey{RequestID: "r"}, Pieces: 2, TTL: time.Second}
 	steward.Observe("w", route.EngineReport{TakenAt: now, Pieces: 10_000, Held: held})
-	return nanos(func() {
-		steward.Reserve("w", ask, now)
-		steward.Release("w", ask.HoldKey, now)
+	return nanosPerCall(func() {
+		steward.Reserve("w", reservation, now)
+		steward.Release("w", reservation.HoldKey, now)
 		steward.Observe("w", route.EngineReport{TakenAt: now.Add(time.Second), Pieces: 10_000, Held: held})
 	})
 }
@@ -181,7 +184,7 @@
 		teams[n] = &table.TeamView{Name: fmt.Sprintf("team-%05d", n), InFlight: 1 << 20}
 	}
 	n := 0
-	return nanos(func() {
+	return nanosPerCall(func() {
 		n++
 		if place, why := admission.Admit(service, teams[n%size]); why == "" {
 			place.Leave()
@@ -196,7 +199,7 @@
 	}}
 }
 
-// tableOf makes a table of that many team rows.
+// tableOf returns a table with the given number of team rows.
 func tableOf(rows int) *table.Table {
 	edit := table.Edit{ID: "all", Author: "ana", Reason: "measure"}
 	for n := range rows {
@@ -213,7 +216,7 @@
 func foldCPU(rows int) float64 {
 	t := tableOf(rows)
 	edit := teamEdit("one", 1)
-	return nanos(func() {
+	return nanosPerCall(func() {
 		if _, err := t.Apply(edit, 2); err != nil {
 			panic("capacity: " + err.Error())
 		}
@@ -222,7 +225,7 @@
 
 func compileCPU(rows int) float64 {
 	t := tableOf(rows)
-	return nanos(func() { t.Compile() })
+	return nanosPerCall(func() { t.Compile() })
 }
 
 func tableMemory(rows int) float64 {
@@ -283,10 +286,10 @@
 	}, request.DefaultConfig())
 }
 
-// benchTable has as many workers of one model as a cell is to have.
+// benchTable has as many backend servers of one model as a cell is designed for.
 var benchTable = makeBenchTable(28)
 
-func makeBenchTable(workers int) string {
+func makeBenchTable(servers int) string {
 	text := `
 [pool.read]
 role = "prefill"
@@ -298,7 +301,7 @@
 prefill_pool = "read"
 decode_pool = "write"
 `
-	for n := range workers {
+	for n := range servers {
 		pool := "write"
 		if n%3 == 0 {
 			pool = "read"
@@ -326,10 +329,10 @@
 
 func requestCPU(tokens int) float64 {
 	r := runnerOf(100)
-	return nanos(func() { runModel(r, tokens) })
+	return nanosPerCall(func() { runModel(r, tokens) })
 }
 
-// countingConn counts the bytes of UDP payload that pass a socket.
+// countingConn counts the bytes that a socket sends, with UDP and IPv4 headers.
 type countingConn struct {
 	net.PacketConn
 	bytes atomic.Int64
@@ -343,7 +346,7 @@
 // udpHeader is the size of the UDP and IPv4 headers, in bytes.
 const udpHeader = 28
 
-// wirePair is two siblings that talk over loopback.
+// wirePair is two siblings that communicate over loopback.
 type wirePair struct {
 	sender, receiver *peer.QUIC
 	conns            [2]*countingConn
@@ -356,8 +359,8 @@
 		return nil, err
 	}
 	p := &wirePair{}
-	ends := make([]*peer.QUIC, 2)
-	for i := range ends {
+	endpoints := make([]*peer.QUIC, 2)
+	for i := range endpoints {
 		identity, err := authority.Identity("end")
 		if err != nil {
 			return nil, err
@@ -367,11 +370,11 @@
 			return nil, errors.Wrap(err, "open socket")
 		}
 		p.conns[i] = &countingConn{PacketConn: conn}
-		if ends[i], err = peer.NewQUIC(p.conns[i], peer.NewKeys(identity)); err != nil {
+		if endpoints[i], err = peer.NewQUIC(p.conns[i], peer.NewKeys(identity)); err != nil {
 			return nil, err
 		}
 	}
-	p.sender, p.receiver = ends[0], ends[1]
+	p.sender, p.receiver = endpoints[0], endpoints[1]
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	go p.receiver.Serve(ctx, p.answer)
@@ -388,34 +391,35 @@
 	p.receiver.Close()
 }
 
-// bytes counts what both ends sent, acknowledgements included.
+// bytes returns the bytes that both endpoints sent, acknowledgements included.
 func (p *wirePair) bytes() int64 { return p.conns[0].bytes.Load() + p.conns[1].bytes.Load() }
 
 func (p *wirePair) call() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	question := &peer.Message{Reserve: &peer.Reserve{
+	query := &peer.Message{Reserve: &peer.Reserve{
 		Worker: "dossier-decode-0017", RequestID: "sabana-0001.mx682y80.1x9z", Pieces: 2, TTL: 3 * time.Second,
 		LandIn: 200 * time.Millisecond, HoldFor: 4 * time.Second,
 	}}
-	if _, err := p.sender.Call(ctx, p.receiver.Address(), question); err != nil {
+	if _, err := p.sender.Call(ctx, p.receiver.Address(), query); err != nil {
 		panic("capacity: " + err.Error())
 	}
 }
 
 const wireCalls = 1000
 
-// meshSizes are the cell sizes of which a whole mesh is measured.
+// meshSizes lists the cell sizes at which a full mesh is measured.
 var meshSizes = []int{4, 8, 16, 24, 40}
 
-// measureWire measures questions between two siblings, the processor time of
-// both ends together, and what one member of a mesh spends a second.
+// measureWire measures the bytes of a query between two siblings, the processor
+// time of a query at both endpoints together, and the cost of one member of a
+// mesh per second.
 func measureWire() ([]Slope, error) {
 	p, err := newWirePair()
 	if err != nil {
 		return nil, err
 	}
-	callCPU := cpuNanos(wireCalls, p.call)
+	callCPU := cpuNanosPerCall(wireCalls, p.call)
 	before := p.bytes()
 	for range wireCalls {
 		p.call()
@@ -443,7 +447,8 @@
 	return Slope{Name: name, Unit: unit, Per: per, Each: value, Points: []Point{{1, value}}}
 }
 
-// pollCPU is the cost of one load report over HTTP, the engine's end included.
+// pollCPU returns the processor time of one load report over HTTP, including the
+// engine's side.
 func pollCPU(held int) float64 {
 	farm := standin.NewFarm()
 	config := standin.DefaultEngine("e")
@@ -466,7 +471,7 @@
 	defer standin.Serve(listener, standin.EngineHandler(e))()
 	client := engine.NewHTTP()
 	defer client.Close()
-	return cpuNanos(wireCalls, func() {
+	return cpuNanosPerCall(wireCalls, func() {
 		if _, err := client.Load(context.Background(), listener.Addr().String()); err != nil {
 			panic("capacity: " + err.Error())
 		}
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -1,6 +1,7 @@
-// Package capacity measures what each mechanism costs per unit of size, fits
-// a line to it, and works out from the slopes what the size to design for
-// takes. The page docs/CAPACITY.md is made from it.
+// Package capacity measures the cost of each mechanism per unit of size and fits
+// a line to the measurements. From the slopes it calculates the cost at the
+// deployment size that the system is designed for. It generates the page
+// docs/CAPACITY.md.
 package capacity
 
 import (
@@ -21,13 +22,13 @@
 // Slope is a line fitted to measurements: cost = Fixed + Each*size.
 type Slope struct {
 	Name string `json:"name"`
-	// Unit is that of the cost, Per that of the size.
+	// Unit is the unit of the cost, Per is the unit of the size.
 	Unit  string  `json:"unit"`
 	Per   string  `json:"per"`
 	Fixed float64 `json:"fixed"`
 	Each  float64 `json:"each"`
-	// Spread is the largest distance of a point from the line, as a part of
-	// the point's cost.
+	// Spread is the largest distance of a point from the line, as a fraction
+	// of the point's cost.
 	Spread float64 `json:"spread"`
 	Points []Point `json:"points"`
 }
@@ -35,8 +36,8 @@
 // At returns the cost at a size.
 func (s Slope) At(size float64) float64 { return s.Fixed + s.Each*size }
 
-// fit lays a line through points, each weighted by the inverse square of its
-// cost, so that it fits small sizes as well as large ones.
+// fit fits a line to points. Each point is weighted by the inverse square of its
+// cost, so that the line fits small sizes as well as large ones.
 func fit(name, unit, per string, points []Point) Slope {
 	var x, y, weights []float64
 	for _, p := range points {
@@ -53,14 +54,14 @@
 }
 
 const (
-	// rounds is how often each point is measured; the median counts.
+	// rounds is the number of measurements of each point. The median is used.
 	rounds = 5
-	// roundTime is the least time of one round.
+	// roundTime is the minimum duration of one round.
 	roundTime = 40 * time.Millisecond
 )
 
-// nanos measures one call of work, in nanoseconds.
-func nanos(work func()) float64 {
+// nanosPerCall measures the elapsed time of one call of work, in nanoseconds.
+func nanosPerCall(work func()) float64 {
 	work()
 	return median(func() float64 {
 		calls := 0
@@ -73,9 +74,9 @@
 	})
 }
 
-// cpuNanos measures the processor time of one call of work, all threads of
-// the process included, in nanoseconds.
-func cpuNanos(calls int, work func()) float64 {
+// cpuNanosPerCall measures the processor time of one call of work over all
+// threads of the process, in nanoseconds.
+func cpuNanosPerCall(calls int, work func()) float64 {
 	work()
 	return median(func() float64 {
 		before := processTime()
@@ -103,13 +104,14 @@
 	return values[rounds/2]
 }
 
-// heapBytes measures the memory that what make returns keeps alive, in bytes.
-func heapBytes(make func() any) float64 {
+// heapBytes measures the memory that the value returned by build keeps alive, in
+// bytes.
+func heapBytes(build func() any) float64 {
 	return median(func() float64 {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		kept := make()
+		kept := build()
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		runtime.KeepAlive(kept)
--- a/capacity/mesh.go
+++ b/capacity/mesh.go
@@ -14,19 +14,19 @@
 const (
 	// meshPeriod is the period of heartbeats in a mesh.
 	meshPeriod = time.Second
-	// meshTime is how long a mesh is measured; the first periods, in which
-	// the connections are made, are left out.
+	// meshTime is the duration of a mesh measurement. It starts after
+	// meshWarmUp, in which the connections are made.
 	meshTime   = 4 * meshPeriod
 	meshWarmUp = 3 * meshPeriod
 )
 
-// mesh is a cell's worth of siblings in one process, each of which sends a
+// mesh is a set of siblings in one process, as many as in a cell. Each sends a
 // heartbeat to every other once a period.
 type mesh struct {
-	ends  []*peer.QUIC
-	conns []*countingConn
-	stop  context.CancelFunc
-	done  sync.WaitGroup
+	endpoints []*peer.QUIC
+	conns     []*countingConn
+	stop      context.CancelFunc
+	done      sync.WaitGroup
 }
 
 func newMesh(size int) (*mesh, error) {
@@ -50,27 +50,28 @@
 		if err != nil {
 			return nil, err
 		}
-		m.ends, m.conns = append(m.ends, end), append(m.conns, counting)
+		m.endpoints, m.conns = append(m.endpoints, end), append(m.conns, counting)
 	}
-	for n, end := range m.ends {
+	for n, end := range m.endpoints {
 		m.done.Go(func() { end.Serve(ctx, ignore) })
-		m.done.Go(func() { m.beat(ctx, n) })
+		m.done.Go(func() { m.sendHeartbeats(ctx, n) })
 	}
 	return m, nil
 }
 
 func ignore(context.Context, *peer.Message) *peer.Message { return nil }
 
-// beat sends one end's heartbeats, each end at a phase of its own.
-func (m *mesh) beat(ctx context.Context, n int) {
-	time.Sleep(meshPeriod * time.Duration(n) / time.Duration(len(m.ends)))
+// sendHeartbeats sends the heartbeats of one endpoint. The phases of the
+// endpoints are spread evenly over the period.
+func (m *mesh) sendHeartbeats(ctx context.Context, n int) {
+	time.Sleep(meshPeriod * time.Duration(n) / time.Duration(len(m.endpoints)))
 	ticker := time.NewTicker(meshPeriod)
 	defer ticker.Stop()
 	message := heartbeatOf(7)
 	for {
-		for to, end := range m.ends {
+		for to, end := range m.endpoints {
 			if to != n {
-				m.ends[n].Send(end.Address(), message)
+				m.endpoints[n].Send(end.Address(), message)
 			}
 		}
 		select {
@@ -83,7 +84,7 @@
 
 func (m *mesh) close() {
 	m.stop()
-	for _, end := range m.ends {
+	for _, end := range m.endpoints {
 		end.Close()
 	}
 	m.done.Wait()
@@ -97,8 +98,8 @@
 	return total
 }
 
-// measureMesh returns what one member of a mesh of that size spends a second:
-// bytes sent and received, and processor time in nanoseconds.
+// measureMesh returns the cost of one member of a mesh of the given size per
+// second: the bytes sent and received, and the processor time in nanoseconds.
 func measureMesh(size int) (bytes, cpu float64, err error) {
 	m, err := newMesh(size)
 	if err != nil {
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -12,14 +12,14 @@
 //go:embed page.md.tmpl
 var pageText string
 
-// page is what the template sees.
+// page is the data that the template uses.
 type page struct {
 	Today  Plan
 	Full   Plan
 	Slopes []Slope
 }
 
-// WritePage writes docs/CAPACITY.md.
+// WritePage writes the content of docs/CAPACITY.md to out.
 func WritePage(out io.Writer, slopes []Slope) error {
 	parsed, err := template.New("page").Funcs(template.FuncMap{
 		"bytes": bytesText, "nanos": nanosText, "n": numberText, "percent": percentText,
@@ -28,13 +28,13 @@
 		"sub": func(a, b float64) float64 { return a - b }, "add": func(a, b float64) float64 { return a + b },
 	}).Parse(pageText)
 	if err != nil {
-		return errors.Wrap(err, "parse page")
+		return errors.Wrap(err, "parse page template")
 	}
 	data := page{Today: newPlan(Today, slopes), Full: newPlan(Full, slopes), Slopes: slopes}
 	return errors.Wrap(parsed.Execute(out, data), "write page")
 }
 
-// unit is a unit with the smallest value that is written in it.
+// unit is a display unit with the smallest value that is shown in it.
 type unit struct {
 	from   float64
 	format string
@@ -49,7 +49,8 @@
 
 func nanosText(ns float64) string { return scaled(ns, timeUnits) }
 
-// scaled writes a value in the largest unit that it reaches, or the smallest.
+// scaled formats a value in the largest unit that it reaches, or else in the
+// smallest unit.
 func scaled(value float64, units []unit) string {
 	for _, u := range units {
 		if value >= u.from {
