--- a/edge/answers.go
+++ b/edge/answers.go
@@ -5,58 +5,56 @@
 	"time"
 )
 
-// answers is what this instance knows of when the store answered about one
-// thing, whichever instance it was that asked.
-type answers struct {
+// storeContact records when the store last answered requests for one kind of data, whichever
+// instance sent the request.
+type storeContact struct {
 	mu sync.Mutex
-	// last is the latest answer; zero before the first.
+	// last is the time of the latest answer. It is zero before the first.
 	last time.Time
-	// current is when what this instance believes was last known to be all that
-	// the store had.
-	current time.Time
+	// confirmedAt is when this instance's data was last known to be all that the store had.
+	confirmedAt time.Time
 }
 
-// awayAfter is how long nobody must have had an answer for the store to count as
-// away: the instances together ask every FreshFor, and entries lapse 2.4 s after
-// they can no longer be renewed (source: the users' sheets, three heartbeats of
-// 1,200 ms, the first of which may just have been due).
-const awayAfter = 2 * time.Second
+// unavailableAfter is how long all instances must be without an answer for the store to count
+// as unavailable. The instances together send a request every FreshFor. Entries expire 2.4 s
+// after they can no longer be renewed: after three heartbeats of 1,200 ms, according to the
+// users' sheets, the first of which may just have been due.
+const unavailableAfter = 2 * time.Second
 
-// heard notes an answer, and whether this instance believes all that it said.
-// It returns whether the store had been away before.
-func (a *answers) heard(at time.Time, all bool) (returned bool) {
+// observe records an answer. complete is set if this instance's data includes everything that
+// the answer covers. It returns whether the store had been unavailable before.
+func (a *storeContact) observe(at time.Time, complete bool) (recovered bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if all && at.After(a.current) {
-		a.current = at
+	if complete && at.After(a.confirmedAt) {
+		a.confirmedAt = at
 	}
 	if !at.After(a.last) {
 		return false
 	}
-	returned = !a.last.IsZero() && at.Sub(a.last) >= awayAfter
+	recovered = !a.last.IsZero() && at.Sub(a.last) >= unavailableAfter
 	a.last = at
-	return returned
+	return recovered
 }
 
-// latest returns the latest answer; zero before the first.
-func (a *answers) latest() time.Time {
+// latest returns the time of the latest answer. It is zero before the first.
+func (a *storeContact) latest() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.last
 }
 
-// confirmed returns when the belief was last known to be current; zero if it
-// never was.
-func (a *answers) confirmed() time.Time {
+// confirmed returns when the data was last known to be current. It is zero if it never was.
+func (a *storeContact) confirmed() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.current
+	return a.confirmedAt
 }
 
-// age is how long ago the belief was last known to be current, for siblings; nil
-// if it never was. Others can rely on no later answer: one that this instance heard
-// of, but whose updates it does not have yet, would make an older list look current.
-func (a *answers) age(now time.Time) *time.Duration {
+// age returns how long ago the data was last known to be current, as reported to siblings. It
+// is nil if it never was. Siblings can't rely on a later answer: an answer that this instance
+// knows of, but whose updates it does not have yet, would make an older list look current.
+func (a *storeContact) age(now time.Time) *time.Duration {
 	confirmed := a.confirmed()
 	if confirmed.IsZero() {
 		return nil
--- a/edge/backpressure.go
+++ b/edge/backpressure.go
@@ -12,33 +12,34 @@
 	"github.com/mastwheel/mastwheel/member"
 )
 
-// Changes of what servers say that are logged: all servers of a large deployment at once,
-// and then a few a second of servers that change their minds with each answer.
+// Limits on the log lines about changed server status reports. The burst covers all servers of
+// a large deployment at once. The rate covers servers whose reports change with each answer.
 const (
-	saysPerSecond = 10
-	saysBurst     = 300
+	statusPerSecond = 10
+	statusBurst     = 300
 )
 
-func newSaysLimit() *logging.Limit { return logging.NewLimit(saysPerSecond, saysBurst, clock.Now()) }
+func newLogLimit() *logging.Limit { return logging.NewLimit(statusPerSecond, statusBurst, clock.Now()) }
 
-// logBackpressure writes a line for a change of what a server says of itself.
+// logBackpressure logs a change of a server's status report.
 func (in *Instance) logBackpressure(change backpressure.Change) {
-	if !in.says.Allow(clock.Now()) {
+	if !in.statusLogLimit.Allow(clock.Now()) {
 		return
 	}
-	klog.InfoS("Server says of itself", "server", change.Server, "before", change.Before, "now", change.Now, "by", change.By,
+	klog.InfoS("Server status report changed", "server", change.Server, "before", change.Before, "now", change.Now, "by", change.By,
 		"ageMillis", change.Age.Milliseconds())
 }
 
-// takeBackpressure takes in what a sibling says of servers. Hubs, and through them all
-// others, are sent on; where all hear each other, they need not be.
-func (in *Instance) takeBackpressure(message heartbeat.Message, now time.Time) {
+// mergeBackpressure merges the server status reports that a sibling sends. With hubs, the
+// reports are forwarded, so that they reach all instances through the hubs. In the mesh each
+// instance already sends its reports to all others.
+func (in *Instance) mergeBackpressure(message heartbeat.Message, now time.Time) {
 	in.Fleet.Backpressure.Merge(message.Pressure, message.From.Name, in.usesHubs(), now)
 }
 
-// introduceBackpressure sends an instance that has just appeared all that is known: it may
-// have started anew, and know nothing, or have been cut off.
-func (in *Instance) introduceBackpressure(to member.Info, now time.Time) {
+// sendFullBackpressure sends all known server status reports to an instance that has just
+// appeared. It may have just started and know nothing, or it may have been cut off.
+func (in *Instance) sendFullBackpressure(to member.Info, now time.Time) {
 	for _, update := range in.Fleet.Backpressure.Whole(now) {
 		message := in.message(now)
 		message.Pressure = update
@@ -46,15 +47,16 @@
 	}
 }
 
-// countedSilent is how long an instance that has fallen silent is taken to send to servers
-// out of sight by one that hears most others: it is more likely gone than cut off.
-const countedSilent = 10 * time.Second
+// silentCountedFor is how long an instance that is in contact with most others assumes that a
+// silent sibling still sends to servers. After that the sibling is more likely gone than cut
+// off.
+const silentCountedFor = 10 * time.Second
 
-// shareLimits says who shares what limited servers take: the instances that take requests.
-// Of those that are not heard some may only be cut off, and one that has just started has
-// not heard of all. One that hears few of those that it knew is most likely cut off itself,
-// and keeps to its part among all.
-func (in *Instance) shareLimits(now time.Time) {
+// updateLimitSharing sets which instances share the rate limits of servers: those that accept
+// requests. Silent siblings may only be cut off, and an instance that has just started does not
+// know all siblings yet. An instance that is in contact with few of its known siblings is most
+// likely cut off itself, and limits itself to its share among all of them.
+func (in *Instance) updateLimitSharing(now time.Time) {
 	share := backpressure.Instances{Self: in.config.Name}
 	silent := 0
 	if in.Ready() {
@@ -65,25 +67,25 @@
 		case sibling.State == member.Alive && !sibling.Draining:
 			share.Taking = append(share.Taking, sibling.Name)
 		case sibling.State == member.Leaving:
-		case now.Sub(sibling.HeardAnywhere) < countedSilent:
+		case now.Sub(sibling.HeardAnywhere) < silentCountedFor:
 			share.Silent++
 		default:
 			silent++
 		}
 	}
-	// One that starts while it is cut off knows others by their addresses only.
+	// An instance that starts while it is cut off knows others only by their addresses.
 	named := len(in.peers.addresses(now)) + 1 - len(share.Taking)
 	if silent = max(share.Silent+silent, named); len(share.Taking) <= silent {
 		share.Silent = silent
 	}
 	if now.Sub(in.started) < in.config.HubGrace {
-		share.Silent = max(share.Silent, unknownInstances-len(share.Taking))
+		share.Silent = max(share.Silent, assumedInstances-len(share.Taking))
 	}
 	in.Fleet.Backpressure.SetInstances(share)
 }
 
-// forgetBackpressure drops what was said by servers that are not on the list any more.
-func (in *Instance) forgetBackpressure(now time.Time) {
+// pruneBackpressure drops the status reports of servers that are no longer on the list.
+func (in *Instance) pruneBackpressure(now time.Time) {
 	servers := in.servers.Load()
 	in.Fleet.Backpressure.Keep(func(run string) bool { return servers.ByRun[run] != nil }, now)
 }
--- a/edge/beat.go
+++ b/edge/beat.go
@@ -11,25 +11,26 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// beat sends heartbeats until ctx ends, and one more whenever something has changed.
-func (in *Instance) beat(ctx context.Context) {
+// heartbeatLoop sends heartbeats until ctx ends, and an extra one whenever something has
+// changed.
+func (in *Instance) heartbeatLoop(ctx context.Context) {
 	var announced []heartbeat.Load
 	sent, turn := time.Time{}, 0
-	for more := true; more; more = in.rest(ctx) {
+	for more := true; more; more = in.waitForBeat(ctx) {
 		now := clock.Now()
 		in.shareAllotments(now)
 		loads := in.loads()
 		changed, urgent := loadsChanged(announced, loads), in.urgent.Swap(false)
-		many := in.usesHubs()
-		in.inMesh.Store(!many)
+		hubs := in.usesHubs()
+		in.inMesh.Store(!hubs)
 		switch {
-		case many:
+		case hubs:
 			in.hubBeat(now, loads, changed, urgent)
 			if changed {
 				announced = loads
 			}
 		case changed || urgent || now.Sub(sent) >= in.config.Members.HeartbeatEvery:
-			in.setReads(in.readsInMesh())
+			in.setLongPolls(in.readsInMesh())
 			in.meshBeat(now, turn, loads)
 			announced, sent = loads, now
 			turn++
@@ -37,46 +38,48 @@
 	}
 }
 
-// committed has a change of this instance's commitments sent to its hubs. Without, they
-// would hear of it with the next beat, and what is known of engines' memory be half a
-// beat older: of 3,691 streams 3,276 were in time by updates of two beats, 3,393 by updates
-// of one and 3,530 by updates of half a beat (TestLoadsMustBeFresh).
-func (in *Instance) committed() {
+// onCommitted wakes the heartbeat loop so that a change of this instance's commitments is sent
+// to its hubs. Without it they would receive the change with the next beat, and the known use
+// of engines' memory would be half a beat older. Of 3,691 streams, 3,276 were in time with
+// updates two beats old, 3,393 with updates one beat old and 3,530 with updates half a beat old
+// (TestLoadsMustBeFresh).
+func (in *Instance) onCommitted() {
 	if !in.inMesh.Load() {
 		in.wake()
 	}
 }
 
-// hurryAll has a heartbeat sent at once to all who hear this instance.
-func (in *Instance) hurryAll() {
+// requestUrgentBeat makes the heartbeat loop send a heartbeat at once to all instances that
+// receive this one's heartbeats.
+func (in *Instance) requestUrgentBeat() {
 	in.urgent.Store(true)
 	in.wake()
 }
 
-// wake ends the rest between two beats.
+// wake ends the pause between two beats.
 func (in *Instance) wake() {
 	select {
-	case in.hurried <- struct{}{}:
+	case in.woken <- struct{}{}:
 	default:
 	}
 }
 
-// urgentGap lies between two beats at least, so that what is urgent at the same time
-// goes out together.
-const urgentGap = 10 * time.Millisecond
+// minBeatGap is the least time between two beats, so that urgent changes at the same time are
+// sent together.
+const minBeatGap = 10 * time.Millisecond
 
-// rest waits until the next beat, or until something is urgent, but for a short while
-// in any case. It returns false when ctx ended first.
-func (in *Instance) rest(ctx context.Context) bool {
-	quick := in.quickBeat()
+// waitForBeat waits until the next beat is due or something is urgent, but at least for
+// minBeatGap or the beat pause, whichever is shorter. It returns false if ctx ended first.
+func (in *Instance) waitForBeat(ctx context.Context) bool {
+	quick := in.minBeatPause()
 	switch {
 	case in.hubs.isHub():
 		quick = min(quick, in.config.HubBeatEvery)
 	case in.registry.View().Part && !in.Allotments.Bounds():
-		// What has changed meanwhile matters to few, and wakes the beat if it matters soon.
+		// Changes in the meantime matter to few instances. Urgent ones wake the loop.
 		quick = in.config.KeepEvery
 	}
-	least := min(urgentGap, quick)
+	least := min(minBeatGap, quick)
 	timer := time.NewTimer(quick)
 	defer timer.Stop()
 	began := clock.Now()
@@ -85,35 +88,35 @@
 		return false
 	case <-timer.C:
 		return true
-	case <-in.hurried:
+	case <-in.woken:
 		return wait.For(ctx, least-min(clock.Since(began), least))
 	}
 }
 
-// sendHeartbeats has heartbeats sent at once to all who hear this instance.
+// sendHeartbeats sends heartbeats at once to all instances that receive this one's heartbeats.
 func (in *Instance) sendHeartbeats() {
 	if !in.usesHubs() {
 		addresses := in.peers.addresses(clock.Now())
 		in.sendTo(addresses, addresses, in.loads())
 		return
 	}
-	in.hurryAll()
+	in.requestUrgentBeat()
 }
 
-// quickBeat is the least pause between two heartbeats. Siblings that do not
-// know of each other's requests send theirs to the same engine, so updates are sent
-// at once where there are few siblings; each datagram costs every one of them.
-func (in *Instance) quickBeat() time.Duration {
+// minBeatPause returns the least pause between two heartbeats. Siblings that do not know of each
+// other's requests send theirs to the same engine, so the pause is short where there are few
+// siblings. It grows with their number because each datagram costs every sibling.
+func (in *Instance) minBeatPause() time.Duration {
 	pause := time.Duration(len(in.members.View().Siblings)) * in.config.QuickBeatPerSibling
 	return min(max(pause, in.config.QuickBeat), in.config.Members.HeartbeatEvery)
 }
 
-// changedMemory is the change of the memory committed at an engine that siblings
-// should hear of at once: a percent of an engine (source: the users' sheets).
-const changedMemory = 1000
+// urgentMemoryChange is the change of the memory committed at an engine that is sent to siblings
+// at once. It is one percent of an engine's memory, according to the users' sheets.
+const urgentMemoryChange = 1000
 
-// loadsChanged says whether loads have changed so that siblings would decide
-// otherwise.
+// loadsChanged reports whether loads have changed so much that siblings would decide
+// differently.
 func loadsChanged(announced, loads []heartbeat.Load) bool {
 	if len(announced) != len(loads) {
 		return true
@@ -127,10 +130,10 @@
 	return false
 }
 
-// message is what each heartbeat says.
+// message returns the content that all heartbeats share.
 func (in *Instance) message(now time.Time) heartbeat.Message {
-	// Ages come before what they are the ages of: updates that come in between would
-	// make what is older look as new.
+	// The ages are read before the data that they belong to. Otherwise an update in between
+	// would make older data look as new as the update.
 	table, servers := in.tableFeed.age(now), in.list.age(now)
 	return heartbeat.Message{
 		From: in.info(), Changing: in.peers.underWay(now), TableHeard: table, ServersHeard: servers,
@@ -139,16 +142,16 @@
 	}
 }
 
-// send sends a message to addresses, and returns the bytes of one datagram.
+// send sends a message to addresses and returns the size of its datagram in bytes.
 func (in *Instance) send(message heartbeat.Message, addresses ...string) int {
 	datagram, err := heartbeat.Encode(message)
 	if err != nil {
-		klog.ErrorS(err, "Heartbeat not sent")
+		klog.ErrorS(err, "Failed to encode heartbeat")
 		return 0
 	}
 	for _, address := range addresses {
 		if err := in.deps.Socket.Send(address, datagram); err != nil {
-			klog.V(1).InfoS("Heartbeat not sent", "sibling", address, "err", err.Error())
+			klog.V(1).InfoS("Failed to send heartbeat", "sibling", address, "err", err.Error())
 		}
 	}
 	return len(datagram)
--- a/edge/budgets.go
+++ b/edge/budgets.go
@@ -18,15 +18,15 @@
 	byService map[string]*route.SharedBudget
 }
 
-// unknownInstances stands in until siblings are known: a share that is too
-// small costs a retry, one that is too large breaks the budget.
-const unknownInstances = 16
+// assumedInstances is the number of instances assumed until siblings are known. A share that is
+// too small costs a retry, one that is too large exceeds the budget.
+const assumedInstances = 16
 
 func newBudgets(ratio, slack float64, window time.Duration) *budgets {
-	return &budgets{ratio: ratio, slack: slack, window: window, instances: unknownInstances, byService: make(map[string]*route.SharedBudget)}
+	return &budgets{ratio: ratio, slack: slack, window: window, instances: assumedInstances, byService: make(map[string]*route.SharedBudget)}
 }
 
-func (b *budgets) of(service string) *route.SharedBudget {
+func (b *budgets) forService(service string) *route.SharedBudget {
 	b.mu.RLock()
 	found := b.byService[service]
 	b.mu.RUnlock()
@@ -36,16 +36,16 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if found = b.byService[service]; found == nil {
-		found = route.NewSharedBudget(b.ratio, b.window, b.part(), clock.Now())
+		found = route.NewSharedBudget(b.ratio, b.window, b.slackShare(), clock.Now())
 		b.byService[service] = found
 	}
 	return found
 }
 
-func (b *budgets) part() float64 { return b.slack / float64(b.instances) }
+func (b *budgets) slackShare() float64 { return b.slack / float64(b.instances) }
 
-// share divides the slack among that many instances.
-func (b *budgets) share(instances int) {
+// setInstances divides the slack among the given number of instances.
+func (b *budgets) setInstances(instances int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if instances == b.instances {
@@ -53,27 +53,28 @@
 	}
 	b.instances = instances
 	for _, budget := range b.byService {
-		budget.SetPart(b.part(), clock.Now())
+		budget.SetPart(b.slackShare(), clock.Now())
 	}
 }
 
-// Instances returns how many instances share what is shared, at the most: this
-// one and every sibling that was heard lately, by itself or by its hub.
+// Instances returns an upper bound of the number of instances that share budgets and limits:
+// this one and every sibling that was recently in contact with it or with its hub.
 func (in *Instance) Instances() int {
 	return max(len(in.members.View().Siblings)+1, in.hubs.count(clock.Now()))
 }
 
-// sharing returns how many instances this one divides budgets by. One that has just
-// started has not heard of all.
-func (in *Instance) sharing(now time.Time) int {
+// budgetInstances returns the number of instances by which this one divides budgets. An
+// instance that has just started does not know all siblings yet, so it assumes at least
+// assumedInstances.
+func (in *Instance) budgetInstances(now time.Time) int {
 	instances := in.Instances()
 	if now.Sub(in.started) < in.config.HubGrace {
-		instances = max(instances, unknownInstances)
+		instances = max(instances, assumedInstances)
 	}
 	return instances
 }
 
-// RetriesLeft returns the retries that are left over all services.
+// RetriesLeft returns the sum of the retries left in the budgets of all services.
 func (in *Instance) RetriesLeft() float64 {
 	in.budgets.mu.RLock()
 	defer in.budgets.mu.RUnlock()
--- a/edge/catchup.go
+++ b/edge/catchup.go
@@ -14,39 +14,38 @@
 	"github.com/mastwheel/mastwheel/subset"
 )
 
-// Have is what an instance that asks already holds, and what it wants.
+// Have is a request for a Snapshot: what the requesting instance already has and what it needs.
 type Have struct {
 	Revision uint64         `cbor:"1,keyasint,omitempty"`
 	Position oplog.Position `cbor:"2,keyasint,omitempty"`
-	// Name and Zone are those of the instance that asks.
+	// Name and Zone identify the requesting instance.
 	Name string `cbor:"3,keyasint,omitempty"`
 	Zone string `cbor:"4,keyasint,omitempty"`
-	// Uses are the shares of the servers that it uses; nil if it has not been given any.
+	// Uses is the subset of the servers that it uses. It is nil if none has been assigned.
 	Uses []subset.Share `cbor:"5,keyasint,omitempty"`
-	// Whole is set if it has to know the whole list, and Anew if it needs the list again
-	// though it has it up to Position.
+	// Whole is set if it needs the full list, and Anew if it needs the list again though it has
+	// it up to Position.
 	Whole bool `cbor:"6,keyasint,omitempty"`
 	Anew  bool `cbor:"7,keyasint,omitempty"`
 }
 
-// same says whether as much is known as before.
-func (h *Have) same(before Have) bool {
+// sameProgress reports whether both requests hold the same table and list positions.
+func (h *Have) sameProgress(before Have) bool {
 	return h.Revision == before.Revision && h.Position == before.Position
 }
 
-// Snapshot is what one instance sends another that cannot reach the store.
+// Snapshot is the data that an instance sends to a sibling that cannot reach the store.
 type Snapshot struct {
-	// Table is the configuration in force, if it is newer than what the other
-	// has.
+	// Table is the configuration in force, if it is newer than the sibling's.
 	Table []byte `cbor:"1,keyasint,omitempty"`
-	// Servers is the list of backend servers, if it is newer. Part is set if only those are
-	// on it that the other is to use by Shares.
+	// Servers is the list of backend servers, if it is newer. Part is set if it contains only
+	// the subset of servers that the sibling uses according to Shares.
 	Servers *registry.Snapshot `cbor:"2,keyasint,omitempty"`
 	Part    bool               `cbor:"3,keyasint,omitempty"`
 	Shares  []subset.Share     `cbor:"4,keyasint,omitempty"`
 }
 
-// SnapshotFor returns what this instance knows beyond what another has.
+// SnapshotFor returns the data that this instance has and the requesting one lacks.
 func (in *Instance) SnapshotFor(have Have) Snapshot {
 	var snapshot Snapshot
 	if revision := in.table.Load(); revision != nil && revision.Number > have.Revision {
@@ -61,32 +60,32 @@
 	return snapshot
 }
 
-// catchUp asks a sibling that knows more than the store has answered: the store
-// may be away, or slow, or not answer just this instance.
+// catchUp requests snapshots from siblings that have newer data than this instance received from
+// the store. The store may be unavailable or slow, or fail to answer only this instance.
 func (in *Instance) catchUp(ctx context.Context) {
-	before := in.have()
+	before := in.snapshotRequest()
 	failed := ""
 	for in.pause(ctx, in.catchUpPause()) {
-		mine := in.have()
-		if in.readAnew(ctx, mine) {
+		mine := in.snapshotRequest()
+		if in.rereadList(ctx, mine) {
 			continue
 		}
-		sibling, ahead := in.ahead(mine, failed)
+		sibling, ahead := in.siblingAhead(mine, failed)
 		failed = ""
-		// Where a long poll waits at the store, it may be about to be answered with the same.
-		if !ahead || (!mine.same(before) && in.reads.Load() && !in.usesHubs()) {
+		// A long poll that waits at the store may be about to return the same data.
+		if !ahead || (!mine.sameProgress(before) && in.longPolls.Load() && !in.usesHubs()) {
 			before = mine
 			continue
 		}
-		if !in.tryAsking(ctx, sibling, mine) {
+		if !in.trySnapshot(ctx, sibling, mine) {
 			failed = sibling.Name
-			in.askStore(ctx, sibling, mine)
+			in.probeStore(ctx, sibling, mine)
 		}
 	}
 }
 
-// catchUpPause is the pause between two looks: one that is told of changes by its hubs as they
-// come looks only for what got lost.
+// catchUpPause returns the pause between two checks. An instance whose hubs send it changes as
+// they occur checks only for lost ones.
 func (in *Instance) catchUpPause() time.Duration {
 	if in.registry.View().Part && !in.needsWhole() {
 		return in.config.KeepEvery
@@ -94,9 +93,9 @@
 	return in.config.CatchUpEvery
 }
 
-// askStore asks the store for what a sibling did not send, where no long poll waits
-// there.
-func (in *Instance) askStore(ctx context.Context, sibling member.Sibling, mine Have) {
+// probeStore polls the store for the data that a sibling failed to send, for the feeds without a
+// long poll.
+func (in *Instance) probeStore(ctx context.Context, sibling member.Sibling, mine Have) {
 	behind := map[*feed]bool{in.tableFeed: sibling.Revision > mine.Revision, in.list: oplog.Position(sibling.Next) > mine.Position}
 	for _, feed := range in.feeds() {
 		if behind[feed] && feed.idles() && !feed.failing(clock.Now()) && feed.beginProbe() {
@@ -105,17 +104,17 @@
 	}
 }
 
-func (in *Instance) have() Have {
+func (in *Instance) snapshotRequest() Have {
 	return Have{
 		Revision: in.tableFeed.progress(), Position: in.registry.View().Position,
 		Name: in.config.Name, Zone: in.config.Zone, Uses: in.uses.Load().Shares(), Whole: in.needsWhole(),
 	}
 }
 
-// readAnew reads the list again that this instance knows otherwise than it has to: in part
-// though it is a hub by now, or by shares that do not suit any more. It says whether that was
-// due.
-func (in *Instance) readAnew(ctx context.Context, mine Have) bool {
+// rereadList reads the list again if this instance has the wrong part of it: only a subset
+// though it needs the full list as a hub, or a subset that no longer suits. It reports whether
+// that was due.
+func (in *Instance) rereadList(ctx context.Context, mine Have) bool {
 	list := in.registry.View()
 	hub := in.outgrown.Load()
 	due := list.Part && (mine.Whole || hub != nil)
@@ -127,34 +126,34 @@
 		mine.Uses = nil
 		if sibling, known := in.members.Find(*hub); known {
 			in.outgrown.Store(nil)
-			in.tryAsking(ctx, sibling, mine)
+			in.trySnapshot(ctx, sibling, mine)
 		}
 		return true
 	}
-	for _, sibling := range in.nearFirst(func(s *member.Sibling) bool { return !s.Part && oplog.Position(s.Next) >= list.Position }) {
-		if in.tryAsking(ctx, *sibling, mine) && !in.registry.View().Part {
+	for _, sibling := range in.ownZoneFirst(func(s *member.Sibling) bool { return !s.Part && oplog.Position(s.Next) >= list.Position }) {
+		if in.trySnapshot(ctx, *sibling, mine) && !in.registry.View().Part {
 			return true
 		}
 	}
-	in.list.readWhole("no sibling has the whole list")
+	in.list.requestFullRead("no sibling has the full list")
 	return true
 }
 
-// tryAsking asks a sibling, and says whether it answered.
-func (in *Instance) tryAsking(ctx context.Context, sibling member.Sibling, mine Have) bool {
-	err := in.askSibling(ctx, sibling, mine)
+// trySnapshot requests a snapshot from a sibling and reports whether it answered.
+func (in *Instance) trySnapshot(ctx context.Context, sibling member.Sibling, mine Have) bool {
+	err := in.fetchSnapshot(ctx, sibling, mine)
 	if err != nil {
-		klog.InfoS("Sibling not asked", "sibling", sibling.Name, "err", err.Error())
+		klog.InfoS("Failed to fetch snapshot from sibling", "sibling", sibling.Name, "err", err.Error())
 	}
 	return err == nil
 }
 
-// askedAtMost is how many siblings are asked in a row.
-const askedAtMost = 4
+// maxSiblingsTried bounds how many siblings are tried one after another.
+const maxSiblingsTried = 4
 
-// nearFirst returns some siblings that serve and of which something holds, those of the own
-// zone first.
-func (in *Instance) nearFirst(holds func(*member.Sibling) bool) []*member.Sibling {
+// ownZoneFirst returns up to maxSiblingsTried serving siblings that satisfy holds, those of this
+// instance's zone first.
+func (in *Instance) ownZoneFirst(holds func(*member.Sibling) bool) []*member.Sibling {
 	var some []*member.Sibling
 	for _, sibling := range in.members.View().Serving() {
 		if holds(sibling) {
@@ -164,50 +163,51 @@
 	slices.SortStableFunc(some, func(a, b *member.Sibling) int {
 		return compareBools(a.Zone != in.config.Zone, b.Zone != in.config.Zone)
 	})
-	return some[:min(len(some), askedAtMost)]
+	return some[:min(len(some), maxSiblingsTried)]
 }
 
-// ahead finds the sibling that knows most beyond what this instance has, and
-// should have come by now, in its zone if one does there: a table is sent to all that
-// ask, and bytes between zones are dear. One that has just failed to answer is asked only
-// if there is no other: it may stand still, and heartbeats do not show that yet.
-func (in *Instance) ahead(mine Have, failed string) (best member.Sibling, found bool) {
+// siblingAhead finds the sibling with the newest data that this instance should have received
+// from the store by now. Siblings of its own zone come first, because traffic between zones is
+// expensive and the table is sent to every instance that requests it. A sibling that has just
+// failed to answer is selected only if there is no other. It may be suspended, which its
+// heartbeats do not show yet.
+func (in *Instance) siblingAhead(mine Have, failed string) (best member.Sibling, found bool) {
 	now := clock.Now()
-	table := in.tableFeed.waiting(now, in.config.CatchUpEvery)
-	list := in.list.waiting(now, in.config.CatchUpEvery)
+	table := in.tableFeed.overdue(now, in.config.CatchUpEvery)
+	list := in.list.overdue(now, in.config.CatchUpEvery)
 	for _, sibling := range in.members.View().Serving() {
 		newer := (table && sibling.Revision > mine.Revision) || (list && !sibling.Part && oplog.Position(sibling.Next) > mine.Position)
 		if !newer {
 			continue
 		}
-		if !found || best.Name == failed || (sibling.Name != failed && in.rather(sibling, &best)) {
+		if !found || best.Name == failed || (sibling.Name != failed && in.preferred(sibling, &best)) {
 			best, found = *sibling, true
 		}
 	}
 	return best, found
 }
 
-// rather says whether one sibling that is ahead is to be asked rather than another.
-func (in *Instance) rather(one, other *member.Sibling) bool {
+// preferred reports whether one sibling that is ahead is a better choice than another.
+func (in *Instance) preferred(one, other *member.Sibling) bool {
 	if near := one.Zone == in.config.Zone; near != (other.Zone == in.config.Zone) {
 		return near
 	}
 	return one.Revision > other.Revision || (one.Revision == other.Revision && one.Next > other.Next)
 }
 
-// askSibling takes in what a sibling knows beyond what this instance has.
-func (in *Instance) askSibling(ctx context.Context, sibling member.Sibling, mine Have) error {
+// fetchSnapshot requests a snapshot from a sibling and applies it.
+func (in *Instance) fetchSnapshot(ctx context.Context, sibling member.Sibling, mine Have) error {
 	snapshot, err := in.deps.Siblings.Snapshot(ctx, sibling.Peer, mine)
 	if err != nil {
 		return err
 	}
 	if snapshot.Table != nil {
-		in.adoptRaw(snapshot.Table, sibling.Name)
+		in.adoptTable(snapshot.Table, sibling.Name)
 		in.tableFeed.grew(mine.Revision)
 	}
 	if snapshot.Servers != nil {
 		in.takeList(&snapshot, sibling.Name)
-		in.list.learnt()
+		in.list.markKnown()
 		in.list.grew(uint64(mine.Position))
 	}
 	return nil
--- a/edge/config.go
+++ b/edge/config.go
@@ -8,194 +8,194 @@
 	"github.com/mastwheel/mastwheel/subset"
 )
 
-// Config tunes the loops of an instance.
+// Config holds the settings of an instance's loops.
 type Config struct {
 	Name string
 	Zone string
-	// RegionOf is the region of each availability zone.
+	// RegionOf maps availability zones to their regions.
 	RegionOf map[string]string
-	// EntriesAtMost is how many addresses of one answer callers use; 0 means all.
+	// EntriesAtMost is how many addresses of one answer callers use. 0 means all.
 	EntriesAtMost int
-	// CallerAddress is where callers connect, and SiblingAddress where siblings
-	// do, each "ip:port".
+	// CallerAddress and SiblingAddress are the addresses to which callers and siblings connect,
+	// each as "ip:port".
 	CallerAddress  string
 	SiblingAddress string
-	// Seeds are addresses of siblings that may be out of date.
+	// Seeds are addresses of siblings. They may be out of date.
 	Seeds []string
-	// Capacity is the processor time that this instance may use, in thousandths of
-	// a core; the strongest become hubs.
+	// Capacity is the processor time that this instance may use, in thousandths of a core. The
+	// instances with the highest capacity become hubs.
 	Capacity int
 
-	// StoreWait is how long one long poll waits at the store. Longer
-	// costs fewer calls; that a poll is lost is noticed by FreshFor.
+	// StoreWait is how long one long poll waits at the store. A longer wait costs fewer calls.
+	// Lost polls are noticed through FreshFor.
 	StoreWait time.Duration
-	// FreshFor is how long the instances together may have no answer from the
-	// store before one of them asks beside the long polls that wait there, and
-	// ProbeEvery the pause between two looks at that. Updates that no poll brings
-	// are known to all after FreshFor, one to three looks and two looks at what
-	// siblings know: 0.4 to 0.7 s in the median and 1.2 s at most (1, 8 and 62
-	// instances on a virtual clock, 40, 40 and 12 draws), where a leaving server
-	// may be used for 2 s and a request may be under way. Shorter costs calls,
-	// which are priced: 160 a minute of a lone instance, and 416 where 62 make 248 without
-	// (0.6 s: 200 and 439; 0.9 s: 134 and 380, and updates after 1.4 s).
+	// FreshFor is how long the instances together may be without an answer from the store before
+	// one of them polls it in addition to the waiting long polls. ProbeEvery is the pause between
+	// two checks of that. Updates that no long poll returns are known to all instances after
+	// FreshFor, one to three of these checks and two checks of CatchUpEvery. That is 0.4 to 0.7 s
+	// in the median and 1.2 s at most, on a virtual clock with 1, 8 and 62 instances (40, 40 and
+	// 12 draws). A leaving server may be used for 2 s, including the time of a request under way.
+	// A shorter FreshFor costs more calls, which are charged for. A lone instance makes 160 a
+	// minute, and 62 instances make 416 in place of 248 without these polls. With 0.6 s the
+	// figures are 200 and 439, with 0.9 s they are 134 and 380, and updates take 1.4 s.
 	FreshFor   time.Duration
 	ProbeEvery time.Duration
-	// ReadEvery is the least pause between two reads of the list of servers, so
-	// that changes in quick succession share a call; ReadPerSibling stretches it
-	// where many instances would each pay for one, up to ReadAtMost. While engines
-	// are replaced one after another, 58 instances made 4,800 calls a day at
-	// 150 ms and polls of 10 s, and 2,700 at 600 ms and 25 s (means of six
-	// days). A server that leaves is known so much later, and must
-	// get no work after two seconds, the time under way of a request included.
+	// ReadEvery is the least pause between two reads of the list of servers, so that changes in
+	// quick succession share a call. ReadPerSibling lengthens it for each sibling, up to
+	// ReadAtMost, because each of many instances would pay for the calls. While engines are
+	// replaced one after another, 58 instances made 4,800 calls a day at 150 ms and polls of
+	// 10 s, and 2,700 at 600 ms and 25 s (means of six days). The pause delays the news that a
+	// server leaves, which must get no work after two seconds, including the time of a request
+	// under way.
 	ReadEvery      time.Duration
 	ReadPerSibling time.Duration
 	ReadAtMost     time.Duration
-	// RetryEvery is the pause after a call to the store that failed; after more
-	// in a row it doubles, up to RetryAtMost: all calls are priced, and entries
-	// that lapsed must be seen soon after the store's return.
+	// RetryEvery is the pause after a failed call to the store. It doubles with each further
+	// failure in a row, up to RetryAtMost. All calls are charged for, but expired entries must be
+	// noticed soon after the store has recovered.
 	RetryEvery  time.Duration
 	RetryAtMost time.Duration
-	// CatchUpEvery is the pause between two looks at what siblings know. One
-	// that was ahead at two looks in a row is asked for it, unless the store is
-	// about to be asked anyhow.
+	// CatchUpEvery is the pause between two checks for siblings with newer data. A sibling that
+	// was ahead at two checks in a row is requested to send its data, unless the store is about
+	// to be polled anyway.
 	CatchUpEvery time.Duration
-	// RosterEvery is the pause between two looks at the list of instances.
-	// Siblings name each other, so only those that know nobody depend on it: they
-	// look after RosterPatience, which siblings need to answer, and then each
-	// RosterAlone.
+	// RosterEvery is the pause between two reads of the list of instances. Siblings name each
+	// other, so only instances that know no sibling depend on the list. They read it after
+	// RosterPatience, the time that siblings need to answer, and then every RosterAlone.
 	RosterEvery    time.Duration
 	RosterPatience time.Duration
 	RosterAlone    time.Duration
 
-	// AnnounceWithin is over how long instances go on the list of instances again after
-	// the store has lost it, so that their calls do not come at once.
+	// AnnounceWithin is the time over which instances put themselves on the list of instances
+	// again after the store has lost it, so that their calls are spread.
 	AnnounceWithin time.Duration
 
-	// Members tunes the detection of failed siblings.
+	// Members configures the detection of failed siblings.
 	Members member.Config
-	// LongPause is how late a timer must be for this instance to have stood
-	// still itself, rather than having been busy.
+	// LongPause is how late a timer must fire for this instance to count as suspended and not
+	// just busy.
 	LongPause time.Duration
-	// NearPerBeat and FarPerBeat are about how many siblings of the own and of
-	// other zones get each heartbeat. More spread loads and failures sooner; what
-	// an instance sends and receives grows with them, not with the siblings.
+	// NearPerBeat and FarPerBeat are about how many siblings of the instance's own zone and of
+	// other zones get each heartbeat. Higher values spread loads and failures sooner. The traffic
+	// of an instance grows with these values, not with the number of siblings.
 	NearPerBeat int
 	FarPerBeat  int
-	// QuickBeat is the least pause between two heartbeats, and between two sums
-	// of what siblings have sent. Shorter lets siblings know sooner of requests
-	// that an engine got; QuickBeatPerSibling stretches it where there are many, up
-	// to the period of heartbeats.
+	// QuickBeat is the least pause between two heartbeats, and between two summations of the
+	// siblings' loads. A shorter pause lets siblings know sooner of the requests that an engine
+	// got. QuickBeatPerSibling lengthens it for each sibling, up to the period of heartbeats.
 	QuickBeat           time.Duration
 	QuickBeatPerSibling time.Duration
-	// PeersNamed is how many other siblings a heartbeat names.
+	// PeersNamed is how many other siblings each heartbeat names.
 	PeersNamed int
 
-	// Subset says how many servers an instance uses where there are many.
+	// Subset configures how many servers an instance uses where there are many.
 	Subset subset.Config
-	// ReviewEvery is the pause between two looks at whether the shares that instances use
-	// still suit, and WholeFor for how long one that was a hub keeps the whole list: to read
-	// it again is a megabyte.
+	// ReviewEvery is the pause between two checks whether the instances' subsets still suit.
+	// WholeFor is how long a former hub keeps the full list, because reading it again takes a
+	// megabyte.
 	ReviewEvery time.Duration
 	WholeFor    time.Duration
-	// MeshAtMost is up to how many instances each sends its state to all others.
-	// Beyond it hubs do: fewer datagrams, and updates at most two beats old in place of
-	// several, at the price of a beat's delay where all could be reached directly.
+	// MeshAtMost is the greatest number of instances that each send their state to all others.
+	// With more instances, hubs distribute it. That takes fewer datagrams, and updates are at most
+	// two beats old in place of several, but it adds a beat's delay where all instances could be
+	// reached directly.
 	MeshAtMost int
-	// ReadersInMesh is how many instances leave long polls waiting at the store where there
-	// are no hubs. With the others' looks at what is fresh a second one costs calls only; with
-	// one alone, updates wait for these looks whenever it is restarted.
+	// ReadersInMesh is how many instances leave long polls waiting at the store where there are
+	// no hubs. The others check the freshness of the data, so a second one only costs calls. With
+	// one alone, updates wait for these checks whenever it is restarted.
 	ReadersInMesh int
-	// HubsPerZone is how many hubs hear the members of a zone. The second is ready
-	// when the first falls silent; a third would cost each member a datagram a beat.
+	// HubsPerZone is how many hubs receive the heartbeats of a zone's members. The second takes
+	// over when the first falls silent. A third would cost each member a datagram a beat.
 	HubsPerZone int
-	// KeepEvery is how often an instance without updates sends its hubs a heartbeat,
-	// and SubscribedFor how long a hub serves one that says no more: three of these,
-	// since datagrams are lost now and then. DirectSilence is the silence after which
-	// a member is taken for silent.
+	// KeepEvery is the period of the heartbeats that an instance without updates sends to its
+	// hubs. SubscribedFor is how long a hub serves an instance after its last heartbeat. It
+	// covers three of these periods, since datagrams are lost now and then. DirectSilence is the
+	// time without direct contact after which a member counts as silent.
 	KeepEvery     time.Duration
 	SubscribedFor time.Duration
 	DirectSilence time.Duration
-	// HubBeatEvery is the pause between two digests of a hub, some 1.2 KB each to
-	// every member of its zone. Shorter lets all know sooner what engines' memory is
-	// committed; at 75 ms a member receives 16 KB a second.
+	// HubBeatEvery is the pause between two digests of a hub, each about 1.2 KB to every member
+	// of its zone. A shorter pause spreads the committed memory of engines sooner. At 75 ms a
+	// member receives 16 KB a second.
 	HubBeatEvery time.Duration
-	// HubBytes bounds the bytes a second of a hub's digests: with more members or more
-	// servers they come less often, up to two thirds of HubSilence. With 100 members
-	// and 3,000 servers a hub sent 4 MB a second and took 0.36 of a core; 59 members
-	// and 74 servers need less than the bound.
+	// HubBytes bounds the bytes a second of a hub's digests. With more members or more servers
+	// the pause between digests grows, up to two thirds of HubSilence. With 100 members and 3,000
+	// servers a hub sent 4 MB a second and took 0.36 of a core. 59 members and 74 servers need
+	// less than the bound.
 	HubBytes int
-	// HelloEvery is the pause between two tries at addresses of which nothing else is
-	// known: seeds and those on the list of instances may be out of date.
+	// HelloEvery is the pause between two attempts to contact addresses that belong to no known
+	// sibling. Seeds and addresses on the list of instances may be out of date.
 	HelloEvery time.Duration
-	// HubSilence is how long a hub may leave one that asks it without a digest, which
-	// it sends with each beat; it is then left alone for HubAvoidedFor.
+	// HubSilence is how long a hub may leave a subscriber without a digest, which it sends at
+	// each beat. The subscriber then avoids the hub for HubAvoidedFor.
 	HubSilence    time.Duration
 	HubAvoidedFor time.Duration
-	// HubGrace is how long an instance has been a hub before it reports members as
-	// silent that it does not hear: they must have had the time to choose it.
+	// HubGrace is how long an instance must have been a hub before it reports members as silent.
+	// The members need that time to choose it as their hub.
 	HubGrace time.Duration
-	// ZoneSumFor is how long the sum of another zone counts that is not renewed,
-	// and CountHoldsFor the same for the number of instances.
+	// ZoneSumFor is how long the sum of another zone is valid without renewal, and CountHoldsFor
+	// the same for the number of instances.
 	ZoneSumFor    time.Duration
 	CountHoldsFor time.Duration
-	// LoadsAtOnce bounds the servers that a digest holds because their sums have
-	// changed, some 19 bytes each, and LoadsInTurn is how many it holds in any case.
+	// LoadsAtOnce bounds the servers that a digest holds because their sums have changed, about
+	// 19 bytes each. LoadsInTurn is how many servers it holds in any case, each in its turn.
 	LoadsAtOnce int
 	LoadsInTurn int
-	// StatesAtOnce bounds the siblings in one digest, some 110 bytes each, and
-	// HelloAtOnce the unknown addresses that are tried at a time.
+	// StatesAtOnce bounds the siblings in one digest, about 110 bytes each. HelloAtOnce bounds the
+	// unknown addresses that are contacted at a time.
 	StatesAtOnce int
 	HelloAtOnce  int
-	// RepeatedAtOnce is how many siblings' states a digest repeats in turn, some 60 bytes
-	// each: those of 295 each 5.5 s. What a subscriber was sent wrongly stands until then.
+	// RepeatedAtOnce is how many siblings' states a digest repeats in turn, about 60 bytes each.
+	// With 295 siblings each state is repeated every 5.5 s. A subscriber keeps a wrong state until
+	// then.
 	RepeatedAtOnce int
-	// UpdatesAtMost bounds the changes of the list in one datagram, some 120 bytes each;
-	// whoever lacks more asks for the list.
+	// UpdatesAtMost bounds the changes of the list in one datagram, about 120 bytes each. An
+	// instance that lacks more changes requests the list.
 	UpdatesAtMost int
-	// FirstStart is set when all instances start for the first time: nobody waits for them yet,
-	// and none knows anything. Those that are not to read the store then wait for the others'
-	// word for FirstPatience at most, and those that are for ReaderPatience, in which they hear
-	// of each other.
+	// FirstStart is set when all instances start for the first time, so that no caller waits for
+	// them yet and none has any data. Instances that are not meant to read the store then wait at
+	// most FirstPatience for data from the others. Those that are meant to read it wait for
+	// ReaderPatience, in which they learn of each other.
 	FirstStart     bool
 	FirstPatience  time.Duration
 	ReaderPatience time.Duration
-	// StartPatience is how long an instance that starts hears its siblings before it
-	// leaves a long poll waiting at the store: with many, only hubs do.
+	// StartPatience is how long an instance that starts receives its siblings' messages before it
+	// leaves a long poll waiting at the store. With many instances only hubs do.
 	StartPatience time.Duration
-	// IdleLook is the pause between two looks at whether this instance has to read the store
-	// though it leaves no long poll waiting there. It is woken when it is to leave one.
+	// IdleLook is the pause between two checks whether an instance that leaves no long poll
+	// waiting at the store has to read it. The instance is woken when it begins to leave one.
 	IdleLook time.Duration
 
-	// RetryRatio and RetrySlack bound the retries to one service in a window,
-	// from all instances together.
+	// RetryRatio and RetrySlack bound the retries to one service in a RetryWindow, from all
+	// instances together.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
 
-	// AllotmentSlack is what a team may use beyond its limits, in units, before the
-	// users hold it against the system.
+	// AllotmentSlack is how many units a team may use beyond its limits before the users count it
+	// as a violation.
 	AllotmentSlack float64
-	// ColdOverage and ColdSlack bound the requests that a server gets in any second that has
-	// just started, from all instances: so many times its rate, and so many more.
+	// ColdOverage and ColdSlack bound the requests in any second, from all instances, to a server
+	// that has just started: ColdOverage times its rate plus ColdSlack.
 	ColdOverage float64
 	ColdSlack   float64
-	// AllotmentFresh is how old a hub's word on what teams may use can be for an
-	// instance to go by it: four digests, or two where they come less often. Longer, and
-	// the members of a hub that is gone all hand out the same; shorter, and each lost
-	// datagram has one refuse what it need not.
+	// AllotmentFresh is the greatest age of a hub's report of the teams' balances that an instance
+	// relies on. It covers four digests, or two where they are less frequent. If it is too long,
+	// the members of a lost hub all spend the same balance. If it is too short, each lost datagram
+	// makes an instance refuse requests without need.
 	AllotmentFresh time.Duration
 	// TeamsAtOnce bounds the teams in one digest, some 17 bytes each.
 	TeamsAtOnce int
 
-	// Lease bounds who may give orders.
+	// Lease configures the lease on giving orders.
 	Lease lease.Config
-	// PrefillShare is the share of a service's engines that read prompts.
+	// PrefillShare is the share of a service's engines that prefill, which means to read prompts.
 	PrefillShare float64
-	// OrdersEvery is the pause between two looks at the engines' roles.
+	// OrdersEvery is the pause between two checks of the engines' roles.
 	OrdersEvery time.Duration
 }
 
-// DefaultConfig suits installations of up to some hundreds of instances.
+// DefaultConfig returns a configuration for deployments of up to some hundreds of instances.
 func DefaultConfig() Config {
 	return Config{
 		StoreWait:      25 * time.Second,
@@ -258,21 +258,21 @@
 	}
 }
 
-// defaultPrefillShare is from trials on the users' sheets: two of nine engines
-// read what the other seven can hold.
+// defaultPrefillShare suits the loads of the users' sheets. There, two of nine engines prefill as
+// much as the other seven can hold for decoding.
 const defaultPrefillShare = 2.0 / 9
 
-// LeaseConfig returns the times of a lease after whose holder's last order
-// nobody else gives one for a while.
+// LeaseConfig returns the times of a lease that keeps orders of different holders at least the
+// given time apart.
 func LeaseConfig(apart time.Duration) lease.Config {
-	// A holder stops at TTL-Margin and a challenger begins at TTL+Margin, so
-	// the margin is half of the time that must lie between.
+	// A holder stops at TTL-Margin and a challenger begins at TTL+Margin, so the margin is half
+	// of the time that must lie between them.
 	margin := apart/2 + leaseSlack
 	return lease.Config{TTL: margin + orderWindow, RenewEvery: orderWindow / 2, Margin: margin}
 }
 
 const (
-	// orderWindow is how long a holder may give orders after a claim.
+	// orderWindow is how long a holder may give orders after a claim or renewal.
 	orderWindow = 1500 * time.Millisecond
 	// leaseSlack covers an order that is under way when its holder stops.
 	leaseSlack = 400 * time.Millisecond
--- a/edge/deps.go
+++ b/edge/deps.go
@@ -11,48 +11,48 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// What an instance works with: the users' platform, its siblings and the engines.
+// This file declares the interfaces to what an instance depends on: the users' platform, its
+// siblings and the engines.
 
 // Revision is one version of the operators' table.
 type Revision struct {
 	Number uint64
-	// Raw is the configuration that it was made of, for siblings.
+	// Raw is the encoded configuration that View was built from. It is sent to siblings.
 	Raw  []byte
 	View *table.View
 }
 
-// Tables is where the operators' configuration comes from.
+// Tables is the source of the operators' configuration.
 type Tables interface {
-	// Newest returns all that the operators have in force, and the position to follow it
-	// from.
+	// Newest returns the full configuration in force and the position to follow changes from.
 	Newest(ctx context.Context) (all OperatorChanges, position oplog.Position, err error)
-	// Since waits for changes after a position. oplog.ErrTruncated means that the
-	// position is no longer kept.
+	// Since waits for changes after a position. oplog.ErrTruncated means that the log no longer
+	// holds the position.
 	Since(ctx context.Context, position oplog.Position, wait time.Duration) (changes OperatorChanges, next oplog.Position, err error)
 	Decode(raw []byte) (*Revision, error)
 }
 
-// OperatorChanges is what the operators have changed since a position of their log.
+// OperatorChanges holds the changes by the operators since a position of their log.
 type OperatorChanges struct {
-	// Table is the newest configuration; nil without one.
+	// Table is the newest configuration. It is nil if there is none.
 	Table []byte
-	// Evacuated says of availability zones whether their backend servers are to get
-	// nothing more. Whole is set if those that are missing are not evacuated; else they
-	// stay as they were.
+	// Evacuated holds, by availability zone, whether the backend servers of the zone must get no
+	// more requests. If Whole is set, zones that are missing are not evacuated. Otherwise they
+	// keep their state.
 	Evacuated map[string]bool
 	Whole     bool
 }
 
-// ServerList is where the list of backend servers comes from.
+// ServerList is the source of the list of backend servers.
 type ServerList interface {
-	// Newest returns the whole list. Where that takes more than one call, readsOn is asked
-	// after the first whether to go on; its error ends the reading.
-	Newest(ctx context.Context, readsOn func(context.Context) error) (registry.Snapshot, error)
-	// Since returns the changes after a position, waiting for one for a while.
+	// Newest returns the full list. Where that takes more than one call, checkContinue is called
+	// after the first. If it returns an error, the read ends with that error.
+	Newest(ctx context.Context, checkContinue func(context.Context) error) (registry.Snapshot, error)
+	// Since returns the changes after a position. It waits for a change for at most wait.
 	Since(ctx context.Context, position oplog.Position, wait time.Duration) (changes []registry.Change, next oplog.Position, err error)
 }
 
-// Roster lists the instances, for those that know no sibling yet.
+// Roster is the list of instances, read by instances that know no sibling yet.
 type Roster interface {
 	Announce(ctx context.Context, name, address string) error
 	Withdraw(ctx context.Context, name string) error
@@ -60,19 +60,19 @@
 	Addresses(ctx context.Context) (map[string]string, error)
 }
 
-// Claims is where the lease on orders is claimed.
+// Claims stores the claims of the lease on orders.
 type Claims interface {
-	// Last returns the claim that counts, and a condition for the next.
+	// Last returns the claim in effect and the condition for the next one.
 	Last(ctx context.Context, key string) (state lease.State, condition oplog.Position, err error)
-	// Claim makes a claim that counts only if no other came in between. won is
-	// false when one did.
+	// Claim makes a claim that takes effect only if no other was made in between. won is false
+	// if one was.
 	Claim(ctx context.Context, claim lease.Claim, condition oplog.Position) (state lease.State, won bool, err error)
 }
 
-// EngineStatus is what a model engine reports of its orders.
+// EngineStatus is a model engine's report on its orders.
 type EngineStatus struct {
 	Role string
-	// Busy is set while an order is being carried out.
+	// Busy is set while the engine carries out an order.
 	Busy bool
 	// Sequence counts the orders that this run of the engine has accepted.
 	Sequence uint64
@@ -90,15 +90,15 @@
 
 // Engines gives orders to model engines.
 type Engines interface {
-	// SetRole has an engine report, and gives it the order that decide makes of
-	// that, if it makes one. The order reaches the run of the engine that reported,
-	// or none: its count of accepted orders says nothing to a run that started
-	// since. engine.ErrStale means that the engine has seen a higher fencing token,
-	// engine.ErrRefused that it did not take the order.
+	// SetRole requests an engine's status and sends it the order that decide returns for that
+	// status, if it returns one. Only the run of the engine that reported can receive the order,
+	// since the count of accepted orders is meaningless to a run that started later.
+	// engine.ErrStale means that the engine has seen a higher fencing token, and
+	// engine.ErrRefused that it did not accept the order.
 	SetRole(ctx context.Context, server *registry.Entry, decide func(EngineStatus) (RoleOrder, bool)) error
 }
 
-// Siblings asks one sibling for what it believes.
+// Siblings requests snapshots from siblings.
 type Siblings interface {
 	Snapshot(ctx context.Context, address string, have Have) (Snapshot, error)
 }
@@ -106,12 +106,12 @@
 // Socket carries heartbeats between siblings.
 type Socket interface {
 	Send(address string, datagram []byte) error
-	// Receive hands each message to handle until ctx ends; what is none goes to
-	// bad.
+	// Receive passes each message to handle until ctx ends, and calls bad with the error for each
+	// datagram that cannot be decoded.
 	Receive(ctx context.Context, handle func(heartbeat.Message), bad func(error)) error
 }
 
-// Deps is what an Instance works with.
+// Deps holds the dependencies of an Instance.
 type Deps struct {
 	Tables   Tables
 	Servers  ServerList
@@ -121,6 +121,6 @@
 	Siblings Siblings
 	Socket   Socket
 	Random   func() float64
-	// ServersChanged is called with each new picture of the servers.
+	// ServersChanged is called with each new view of the servers.
 	ServersChanged func(view *registry.View)
 }
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -1,7 +1,7 @@
-// Package edge is one instance on a platform that keeps the table and the list
-// of backend servers for it: the loops that follow both, what siblings send
-// each other, and who gives engines their roles. Requests are package
-// forward's; this package holds what they are decided by.
+// Package edge runs one instance on a platform that stores the table and the list of backend
+// servers for it. It holds the loops that follow both, the messages that siblings exchange, and
+// the choice of the instance that gives engines their roles. Package forward handles requests.
+// This package provides the state by which it decides them.
 package edge
 
 import (
@@ -28,56 +28,58 @@
 
 // Instance is one running instance.
 type Instance struct {
-	config   Config
-	deps     Deps
-	started  time.Time
-	self     atomic.Uint64 // incarnation
-	table    atomic.Pointer[Revision]
-	registry *registry.Registry
-	servers  atomic.Pointer[forward.Servers]
-	Fleet    *route.Fleet
-	members  *member.Members
-	peers    *peers
-	budgets  *budgets
-	// tableFeed and list keep table and registry up to date.
+	config      Config
+	deps        Deps
+	started     time.Time
+	incarnation atomic.Uint64
+	table       atomic.Pointer[Revision]
+	registry    *registry.Registry
+	servers     atomic.Pointer[forward.Servers]
+	Fleet       *route.Fleet
+	members     *member.Members
+	peers       *peers
+	budgets     *budgets
+	// tableFeed keeps table up to date, and list keeps registry up to date.
 	tableFeed *feed
 	list      *feed
-	// tablePosition is where the store's log of the table is read on.
+	// tablePosition is the position from which the store's log of the table is read next.
 	tablePosition atomic.Uint64
-	// uses is the part of all servers that this instance uses; nil if it uses all.
+	// uses is the subset of the servers that this instance uses. It is nil if it uses all.
 	uses atomic.Pointer[subset.Subset]
-	// counted is the census of the list as it was counted last.
-	counted atomic.Pointer[countedList]
-	// outgrown names the hub by whose word this instance uses shares that do not suit any
-	// more; nil otherwise.
+	// listCensus is the latest census of the list.
+	listCensus atomic.Pointer[countedList]
+	// outgrown names the hub that reported that this instance's subset of the servers no longer
+	// suits. It is nil otherwise.
 	outgrown atomic.Pointer[string]
-	// evacuation is which zones are evacuated; nil until any ever was.
+	// evacuation holds the evacuated zones. It is nil until the first evacuation.
 	evacuation atomic.Pointer[heartbeat.Evacuation]
-	// loadsHeard holds an entry when what siblings have sent is to be summed anew.
-	loadsHeard chan struct{}
-	stopping   atomic.Bool
-	orders     *orders
-	hubs       *hubs
-	// reads is set while this instance leaves long polls waiting at the store.
-	reads atomic.Bool
-	// begins is closed, and replaced, when it begins to.
-	begins atomic.Pointer[chan struct{}]
-	// urgent is set, and hurried wakes the beat, when siblings are to hear at once.
-	urgent  atomic.Bool
-	hurried chan struct{}
+	// loadsReceived holds an entry when siblings have sent loads that are not in the sums yet.
+	loadsReceived chan struct{}
+	stopping      atomic.Bool
+	orders        *orders
+	hubs          *hubs
+	// longPolls is set while this instance leaves long polls waiting at the store.
+	longPolls atomic.Bool
+	// longPollsBegin is closed and replaced when longPolls becomes true.
+	longPollsBegin atomic.Pointer[chan struct{}]
+	// urgent is set when siblings must receive a heartbeat at once. woken wakes the heartbeat
+	// loop.
+	urgent atomic.Bool
+	woken  chan struct{}
 	// inMesh is set while each instance sends its state to all others.
 	inMesh atomic.Bool
-	// Allotments is what teams may still use.
+	// Allotments holds the balances of the teams' token buckets.
 	Allotments *allotment.Ledger
-	// adopted is when this instance took the word of its hub on that last; nil before.
+	// adopted records when this instance last adopted the balances from its hub. It is nil
+	// before that.
 	adopted atomic.Pointer[adoption]
-	// Poison remembers which requests ran at servers when these ended.
+	// Poison remembers which requests ran at servers when these crashed.
 	Poison *poison.Tracker
-	// says bounds the log lines on what servers say of themselves.
-	says *logging.Limit
+	// statusLogLimit bounds the log lines about server status reports.
+	statusLogLimit *logging.Limit
 }
 
-// New returns an instance that knows nothing yet.
+// New returns an instance without any data.
 func New(config Config, deps Deps) *Instance {
 	in := &Instance{
 		config:   config,
@@ -87,7 +89,7 @@
 		peers:    newPeers(config.SiblingAddress, config.Seeds),
 	}
 	in.init()
-	in.self.Store(uint64(time.Now().UnixMilli()))
+	in.incarnation.Store(uint64(time.Now().UnixMilli()))
 	return in
 }
 
@@ -95,37 +97,37 @@
 	return member.New(operation.Member{Name: config.Name}, config.Members)
 }
 
-// init sets up what depends on nothing outside.
+// init sets up the state that needs no call to a dependency.
 func (in *Instance) init() {
 	in.started = clock.Now()
 	in.Fleet = route.NewFleet()
-	in.Fleet.OnCommitted(in.committed)
+	in.Fleet.OnCommitted(in.onCommitted)
 	in.Fleet.Backpressure = backpressure.New(in.deps.Random)
-	in.Fleet.Backpressure.OnChange(in.logBackpressure, in.hurryAll)
+	in.Fleet.Backpressure.OnChange(in.logBackpressure, in.requestUrgentBeat)
 	in.budgets = newBudgets(in.config.RetryRatio, in.config.RetrySlack, in.config.RetryWindow)
 	in.tableFeed = in.newTableFeed()
 	in.list = in.newListFeed()
 	in.servers.Store(&forward.Servers{})
 	in.orders = newOrders(in)
 	in.hubs = newHubs(in.config)
-	in.loadsHeard = make(chan struct{}, 1)
+	in.loadsReceived = make(chan struct{}, 1)
 	begins := make(chan struct{})
-	in.begins.Store(&begins)
-	in.reads.Store(true)
+	in.longPollsBegin.Store(&begins)
+	in.longPolls.Store(true)
 	in.inMesh.Store(true)
-	in.hurried = make(chan struct{}, 1)
-	in.says = newSaysLimit()
+	in.woken = make(chan struct{}, 1)
+	in.statusLogLimit = newLogLimit()
 	in.Allotments = allotment.New(allotment.DefaultConfig(), in.deps.Random)
 	in.Allotments.SetSlack(in.config.AllotmentSlack * slackUsed)
 	in.Poison = poison.New(poison.DefaultConfig(), in.deps.Random, in.Instances)
-	in.Poison.OnChange(logPoison, in.hurryAll)
+	in.Poison.OnChange(logPoison, in.requestUrgentBeat)
 }
 
-// Run follows table, servers and siblings until ctx ends.
+// Run follows the table, the servers and the siblings until ctx ends.
 func (in *Instance) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	loops := []func(context.Context){
-		in.followRoster, in.catchUp, in.beat, in.followLoads, in.tick, in.keepFresh, in.followEra, in.orders.run,
+		in.followRoster, in.catchUp, in.heartbeatLoop, in.followLoads, in.tick, in.keepFresh, in.followEra, in.orders.run,
 	}
 	for _, feed := range in.feeds() {
 		loops = append(loops, feed.follow)
@@ -140,18 +142,18 @@
 	return group.Wait()
 }
 
-// setReads says whether this instance leaves long polls waiting at the store.
-func (in *Instance) setReads(reads bool) {
-	if !reads || in.reads.Load() {
-		in.reads.Store(reads)
+// setLongPolls sets whether this instance leaves long polls waiting at the store.
+func (in *Instance) setLongPolls(reads bool) {
+	if !reads || in.longPolls.Load() {
+		in.longPolls.Store(reads)
 		return
 	}
-	in.reads.Store(true)
+	in.longPolls.Store(true)
 	next := make(chan struct{})
-	close(*in.begins.Swap(&next))
+	close(*in.longPollsBegin.Swap(&next))
 }
 
-// feeds are all that follow the store.
+// feeds returns all feeds that follow the store.
 func (in *Instance) feeds() []*feed { return []*feed{in.tableFeed, in.list} }
 
 // Table implements forward.View.
@@ -162,7 +164,7 @@
 	return nil
 }
 
-// Revision returns the number of the table in force; 0 before there is one.
+// Revision returns the number of the table in force, or 0 before there is one.
 func (in *Instance) Revision() uint64 {
 	if revision := in.table.Load(); revision != nil {
 		return revision.Number
@@ -190,30 +192,29 @@
 // TableConfirmed returns when the table was last known to be the newest.
 func (in *Instance) TableConfirmed() time.Time { return in.tableFeed.confirmed() }
 
-// Polls counts how often this instance polled the store beside the long polls that
-// wait there, and the polls that it gave up.
-func (in *Instance) Polls() (beside, givenUp uint64) {
+// Polls returns how often this instance polled the store in addition to its long polls, and how
+// many polls it gave up.
+func (in *Instance) Polls() (extra, givenUp uint64) {
 	for _, feed := range in.feeds() {
-		beside += feed.probes.Load()
+		extra += feed.probes.Load()
 		givenUp += feed.givenUp.Load()
 	}
-	return beside, givenUp
+	return extra, givenUp
 }
 
 // Budget returns the retry budget of a service.
-func (in *Instance) Budget(service string) *route.SharedBudget { return in.budgets.of(service) }
+func (in *Instance) Budget(service string) *route.SharedBudget { return in.budgets.forService(service) }
 
-// Ready says whether the instance takes requests.
+// Ready reports whether the instance accepts requests.
 func (in *Instance) Ready() bool {
 	return !in.stopping.Load() && in.table.Load() != nil && len(in.servers.Load().ByRun) > 0
 }
 
-// Stop begins a graceful shutdown: siblings no longer name this instance to
-// callers.
+// Stop begins a graceful shutdown. Siblings no longer return this instance's address to callers.
 func (in *Instance) Stop(ctx context.Context) {
 	in.stopping.Store(true)
 	in.sendHeartbeats()
 	if err := in.deps.Roster.Withdraw(ctx, in.config.Name); err != nil {
-		logStore("Not taken off the list of instances", err)
+		logStore("Failed to remove this instance from the list of instances", err)
 	}
 }
--- a/edge/entry.go
+++ b/edge/entry.go
@@ -10,7 +10,7 @@
 )
 
 // Entry returns the addresses that callers of a region and zone should use: those of this
-// instance and of the siblings that are alive, in that region if any are there. Where one
+// instance and of the live siblings, limited to that region if any of them are there. If one
 // answer does not hold them all, those of the caller's zone come first.
 func (in *Instance) Entry(region, zone string) []string {
 	var all, near []member.Info
@@ -43,19 +43,19 @@
 	return addresses
 }
 
-// Settled says whether this instance knows most of those that serve: one that has just
-// started would send all callers who ask it to the few that it knows.
+// Settled reports whether this instance knows most of the serving instances. An instance that
+// has just started would send all its callers to the few instances that it knows.
 func (in *Instance) Settled() bool {
 	return clock.Since(in.started) >= in.config.HubGrace && 2*(in.Serving()+1) >= in.Instances()
 }
 
-// HubState returns how many instances this one serves as a hub, and how long ago its
-// own hubs answered.
+// HubState returns how many instances this one serves as a hub, and the time since its own hubs
+// last answered.
 func (in *Instance) HubState() (serves int, silence time.Duration) { return in.hubs.state(clock.Now()) }
 
-// followRoster puts this instance on the list of instances, and finds siblings there
-// that neither a seed nor another sibling names: at once if it hears nobody, else
-// seldom. Of many instances about rosterReaders look at a time.
+// followRoster puts this instance on the list of instances and reads from it the siblings that
+// neither a seed nor another sibling names. It reads the list every RosterAlone while it knows no
+// sibling, and otherwise rarely. In each period about rosterReaders instances read it.
 func (in *Instance) followRoster(ctx context.Context) {
 	announced, failures := in.announce(ctx), 0
 	in.pause(ctx, in.config.RosterPatience)
@@ -78,24 +78,25 @@
 	}
 }
 
-// rosterReaders is about how many instances read the list of instances in each
-// period: it is for those who know nobody, and each call is priced.
+// rosterReaders is about how many instances read the list of instances in each period. Only
+// instances that know no sibling depend on the list, and each call is charged for.
 const rosterReaders = 4
 
-// announce puts this instance on the list, unless it stops.
+// announce puts this instance on the list of instances unless it is stopping. It reports
+// whether nothing is left to do.
 func (in *Instance) announce(ctx context.Context) bool {
 	if in.stopping.Load() {
 		return true
 	}
 	err := in.deps.Roster.Announce(ctx, in.config.Name, in.config.SiblingAddress)
 	if err != nil {
-		logStore("Not yet on the list of instances", err)
+		logStore("Failed to add this instance to the list of instances", err)
 	}
 	return err == nil
 }
 
-// readRoster learns the addresses on the list, and returns how often that failed in a
-// row.
+// readRoster adds the addresses on the list to the known peers, and returns the number of
+// failures in a row.
 func (in *Instance) readRoster(ctx context.Context, failures int) int {
 	addresses, err := in.deps.Roster.Addresses(ctx)
 	if err != nil {
--- a/edge/era.go
+++ b/edge/era.go
@@ -9,15 +9,15 @@
 	"github.com/mastwheel/mastwheel/oplog"
 )
 
-// era returns the latest era of the store that this instance knows, by its own polls or
-// by its siblings.
+// era returns the latest era of the store that this instance knows from its own polls or from
+// its siblings.
 func (in *Instance) era() uint64 {
 	return max(in.registry.View().Position.Era(), oplog.Position(in.tablePosition.Load()).Era())
 }
 
-// followEra puts this instance on the list of instances again after the store has come
-// back from an older copy, which may lack it. The instances do so one after another
-// within Config.AnnounceWithin: one call each.
+// followEra puts this instance on the list of instances again after the store was restored from
+// an older copy, which may lack it. The instances do so with one call each, spread over
+// Config.AnnounceWithin.
 func (in *Instance) followEra(ctx context.Context) {
 	known := in.era()
 	for in.pause(ctx, in.config.IdleLook) {
@@ -25,7 +25,7 @@
 		if era <= known {
 			continue
 		}
-		klog.InfoS("The store is in a later era; this instance goes on its list again", "era", era, "before", known,
+		klog.InfoS("Store is in a later era; announcing this instance again", "era", era, "before", known,
 			"revision", in.Revision(), "position", in.registry.View().Position)
 		began := clock.Now()
 		in.pause(ctx, in.config.AnnounceWithin/2)
@@ -33,8 +33,8 @@
 		for !in.announce(ctx) && in.pause(ctx, in.backoff(failures+1)) {
 			failures++
 		}
-		klog.InfoS("On the list of instances again", "era", era, "tookMillis", clock.Since(began).Milliseconds(), "failures", failures)
-		// What the first era was is not known before the first answer.
+		klog.InfoS("This instance was added to the list of instances again", "era", era, "tookMillis", clock.Since(began).Milliseconds(), "failures", failures)
+		// Before the first answer the era is not known.
 		known = era
 	}
 }
--- a/edge/evacuation.go
+++ b/edge/evacuation.go
@@ -10,34 +10,35 @@
 	"github.com/mastwheel/mastwheel/oplog"
 )
 
-// The operators may evacuate an availability zone: its backend servers get nothing more until
-// that is taken back. Whoever reads the operators' log tells all others with its heartbeats;
-// what was read further on counts.
+// The operators may evacuate an availability zone. Its backend servers then get no more requests
+// until the operators end the evacuation. Instances that read the operators' log send its state
+// to all others with their heartbeats. The state at the later log position takes precedence.
 
-// readEvacuation takes in what the operators' log says up to a position.
-func (in *Instance) readEvacuation(changes OperatorChanges, next oplog.Position) {
+// applyEvacuation applies the evacuations in the operators' log up to the position next.
+func (in *Instance) applyEvacuation(changes OperatorChanges, next oplog.Position) {
 	for {
 		before := in.evacuation.Load()
 		if before == nil && !slices.Contains(slices.Collect(maps.Values(changes.Evacuated)), true) {
 			return
 		}
-		after := after(before, changes, next)
-		if in.adoptEvacuation(before, &after, "store") {
+		after := evacuationAfter(before, changes, next)
+		if in.replaceEvacuation(before, &after, "store") {
 			return
 		}
 	}
 }
 
-// after is which zones are evacuated once changes are applied to what was known before. The
-// changes may begin before that, but not after it: each read of the log is noted here.
-func after(before *heartbeat.Evacuation, changes OperatorChanges, next oplog.Position) heartbeat.Evacuation {
+// evacuationAfter returns the evacuated zones after changes are applied to the state before. The
+// changes may begin before the position of that state, but not after it, because each read of
+// the log is recorded in the state.
+func evacuationAfter(before *heartbeat.Evacuation, changes OperatorChanges, next oplog.Position) heartbeat.Evacuation {
 	evacuated := maps.Clone(changes.Evacuated)
 	if evacuated == nil {
 		evacuated = make(map[string]bool)
 	}
 	if before != nil && !changes.Whole {
 		for _, zone := range before.Zones {
-			if _, said := evacuated[zone]; !said {
+			if _, changed := evacuated[zone]; !changed {
 				evacuated[zone] = true
 			}
 		}
@@ -46,19 +47,19 @@
 	return heartbeat.Evacuation{Position: next, Zones: slices.Sorted(maps.Keys(evacuated))}
 }
 
-// takeEvacuation takes in what a sibling knows, unless this instance has read on from there
-// itself.
-func (in *Instance) takeEvacuation(message heartbeat.Message) {
+// mergeEvacuation applies the evacuated zones that a sibling sends, unless this instance has
+// itself read the log at least as far.
+func (in *Instance) mergeEvacuation(message heartbeat.Message) {
 	for message.Evacuation != nil && uint64(message.Evacuation.Position) > in.tablePosition.Load() {
-		if in.adoptEvacuation(in.evacuation.Load(), message.Evacuation, message.From.Name) {
+		if in.replaceEvacuation(in.evacuation.Load(), message.Evacuation, message.From.Name) {
 			return
 		}
 	}
 }
 
-// adoptEvacuation puts one belief in the place of an older one; false if that has changed
-// meanwhile.
-func (in *Instance) adoptEvacuation(before, after *heartbeat.Evacuation, from string) bool {
+// replaceEvacuation replaces the state before by a newer one. It returns false if the state has
+// changed in the meantime.
+func (in *Instance) replaceEvacuation(before, after *heartbeat.Evacuation, from string) bool {
 	if before != nil && after.Position <= before.Position {
 		return true
 	}
@@ -68,13 +69,13 @@
 	if sameZones(before, after) {
 		return true
 	}
-	klog.InfoS("Zones evacuated", "zones", after.Zones, "before", zonesOf(before), "position", after.Position, "from", from)
+	klog.InfoS("Evacuated zones changed", "zones", after.Zones, "before", zonesOf(before), "position", after.Position, "from", from)
 	in.rebuild()
-	in.hurryAll()
+	in.requestUrgentBeat()
 	return true
 }
 
-// Evacuated counts the zones that are evacuated.
+// Evacuated returns the number of evacuated zones.
 func (in *Instance) Evacuated() int { return len(zonesOf(in.evacuation.Load())) }
 
 func zonesOf(evacuation *heartbeat.Evacuation) []string {
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -13,63 +13,61 @@
 	"github.com/mastwheel/mastwheel/oplog"
 )
 
-// feed keeps one belief up to date from the store: the table, or the list of
-// servers. One long poll is under way nearly always. It alone would
-// not do: where the store falls silent in part, or a connection does without a
-// reset, the poll is never answered, and updates were known up to 26.5 s late, to
-// all instances at once. So the instances together see to it that one of them has
-// asked anew within Config.FreshFor, and one that knows of updates which its own
-// poll has not brought gives that poll up.
+// feed keeps one kind of data up to date from the store: the table or the list of servers. A
+// long poll is under way nearly always, but it alone is not enough. If part of the store stops
+// answering, or a connection breaks without a reset, the poll is never answered. Updates were
+// then known up to 26.5 s late, by all instances at once. Therefore the instances together make
+// sure that one of them has sent a new request within Config.FreshFor. An instance that knows of
+// updates that its own poll has not returned gives up that poll.
 type feed struct {
 	*Instance
 	name  string
 	store *dependency
-	answers
-	// read asks the store for what is new, or for everything unless something is
-	// known, and takes it in. It returns when the store had no more than that; zero
-	// if it has brought less than is believed by now.
+	storeContact
+	// read requests the changes from the store, or everything if known is false, and applies
+	// the answer. It returns the time at which the store had no more than that. The time is zero
+	// if this instance has newer data than the answer by now.
 	read func(ctx context.Context, known bool, wait time.Duration) (at time.Time, err error)
-	// rest is the pause between an answer and the next poll.
-	rest func() time.Duration
-	// progress grows with what is believed.
+	// pollPause is the pause between an answer and the next poll.
+	pollPause func() time.Duration
+	// progress returns a number that grows with each update of the data.
 	progress func() uint64
-	// returned is called when the store answers again after it was away.
-	returned func(at time.Time)
+	// onRecovery is called when the store answers again after it was unavailable.
+	onRecovery func(at time.Time)
 
-	// probes and givenUp count polls.
+	// probes counts the polls in addition to the long polls, and givenUp those given up.
 	probes, givenUp atomic.Uint64
 
 	mu sync.Mutex
-	// poll is the one that is under way; nil between two.
+	// poll is the poll under way. It is nil between two polls.
 	poll  *poll
 	known bool
-	// failures counts the polls in a row that failed, and retryAt is when the
-	// next may be asked.
+	// failures counts the failed polls in a row, and retryAt is the earliest time of the next.
 	failures int
 	retryAt  time.Time
-	// probing is set while the store is polled beside the poll that waits.
+	// probing is set while a poll in addition to the long poll is under way.
 	probing bool
-	// surpassed is when the belief last grew by other ways than the poll.
-	surpassed time.Time
-	// old is set while the belief is not known to be current, once that was
+	// advancedElsewhere is when the data was last updated by other means than the poll.
+	advancedElsewhere time.Time
+	// outdated is set while the data is not known to be current. It changes when the change is
 	// logged.
-	old bool
+	outdated bool
 }
 
-// poll is one that is under way at the store.
+// poll is a poll that is under way at the store.
 type poll struct {
-	asked  time.Time
+	sentAt time.Time
 	known  bool
 	wait   time.Duration
 	giveUp context.CancelFunc
-	// givenUp is set once its answer is no longer waited for.
+	// givenUp is set once the feed no longer waits for the answer.
 	givenUp bool
 }
 
-// follow polls again and again until ctx ends.
+// follow polls in a loop until ctx ends.
 func (f *feed) follow(ctx context.Context) {
 	for ctx.Err() == nil {
-		begins := *f.begins.Load()
+		begins := *f.longPollsBegin.Load()
 		pause := f.next(ctx)
 		if f.idles() {
 			f.idle(ctx, begins)
@@ -79,8 +77,8 @@
 	}
 }
 
-// idle waits until this instance begins to leave long polls waiting, or a look is due at
-// whether it should read for another reason.
+// idle waits until this instance begins to leave long polls waiting, or until it is time to check
+// whether it has to read for another reason.
 func (f *feed) idle(ctx context.Context, begins <-chan struct{}) {
 	look := time.NewTimer(f.config.IdleLook)
 	defer look.Stop()
@@ -91,7 +89,7 @@
 	}
 }
 
-// next polls, if this instance is to, and returns the pause until the next.
+// next polls if that is due and returns the pause until the next poll.
 func (f *feed) next(ctx context.Context) time.Duration {
 	if f.idles() {
 		return f.config.IdleLook
@@ -105,12 +103,12 @@
 	return f.pollOnce(ctx)
 }
 
-// idles says whether others leave long polls waiting at the store: there are many
-// instances, and this one believes something already. It still sees to it that
-// somebody has asked lately.
-func (f *feed) idles() bool { return !f.reads.Load() && f.progress() > 0 }
+// idles reports whether this instance leaves the long polls to others, because there are many
+// instances and this one has data already. It still makes sure that some instance has sent a
+// request recently.
+func (f *feed) idles() bool { return !f.longPolls.Load() && f.progress() > 0 }
 
-// pollOnce polls once and returns the pause until the next.
+// pollOnce polls once and returns the pause until the next poll.
 func (f *feed) pollOnce(ctx context.Context) time.Duration {
 	inner, q := f.begin(ctx)
 	defer q.giveUp()
@@ -121,23 +119,23 @@
 	case err == nil:
 		f.succeeded(q.known)
 		f.answered(at)
-		return f.rest()
+		return f.pollPause()
 	case ctx.Err() != nil || givenUp:
 		return 0
 	case errors.Is(err, errLeftToOthers):
-		f.learnt()
-		return f.rest()
+		f.markKnown()
+		return f.pollPause()
 	default:
-		return f.failed(now, q.asked, err)
+		return f.failed(now, q.sentAt, err)
 	}
 }
 
-// begin notes a poll. The first after a failure is answered at once, so that
-// it is known when the store was back, not when the next change came.
+// begin records a new poll. The first one after a failure does not wait for a change, so that the
+// store's recovery is noticed at once and not only at the next change.
 func (f *feed) begin(ctx context.Context) (context.Context, *poll) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	q := &poll{asked: clock.Now(), known: f.known, wait: f.config.StoreWait}
+	q := &poll{sentAt: clock.Now(), known: f.known, wait: f.config.StoreWait}
 	if f.failures > 0 {
 		q.wait = 0
 	}
@@ -146,8 +144,7 @@
 	return ctx, q
 }
 
-// end notes that a poll is no longer under way, and returns whether it was
-// given up.
+// end records that a poll is no longer under way. It returns whether the poll was given up.
 func (f *feed) end(q *poll) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -155,8 +152,8 @@
 	return q.givenUp
 }
 
-// succeeded notes an answer. That to a read of everything ends no row of
-// failures: what was dropped may be dropped again while it is read anew.
+// succeeded records an answer. An answer to a full read does not reset the count of failures,
+// because the log may be truncated again during the next full read.
 func (f *feed) succeeded(known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,15 +163,16 @@
 	f.known = true
 }
 
-// learnt notes that a sibling has told everything: only what is new since has to be read.
-func (f *feed) learnt() {
+// markKnown records that a sibling has sent all data, so that only later changes have to be read.
+func (f *feed) markKnown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.known = true
 }
 
-// readWhole has everything read with the next poll, unless that is under way.
-func (f *feed) readWhole(why string) {
+// requestFullRead makes the next poll read everything. If a poll for changes is under way, it is
+// given up.
+func (f *feed) requestFullRead(why string) {
 	f.mu.Lock()
 	due := f.known
 	f.known = false
@@ -184,60 +182,58 @@
 	}
 }
 
-// answered notes an answer to this instance, and when the store had no more.
+// answered records an answer to this instance, and the time at which the store had no more data.
 func (f *feed) answered(at time.Time) {
 	f.store.ok(clock.Now())
-	f.hear(at, true)
+	f.noteAnswer(at, true)
 }
 
-// answeredAt is when the store had no more than it answered: one that waited for updates
-// passed them on as it got them; of an immediate answer nothing is known but that it
-// is later than the poll.
-func answeredAt(asked time.Time, wait time.Duration) time.Time {
+// answeredAt returns the time at which the store had no more than its answer. A poll that waited
+// for updates is answered as soon as the store gets them. An immediate answer is only known to be
+// later than the poll's start.
+func answeredAt(sentAt time.Time, wait time.Duration) time.Time {
 	if wait > 0 {
 		return clock.Now()
 	}
-	return asked
+	return sentAt
 }
 
-// hear notes an answer to any instance, and whether all that it said is
-// believed here.
-func (f *feed) hear(at time.Time, all bool) {
-	if f.answers.heard(at, all) {
-		klog.InfoS("The store answers again", "dependency", f.store.name, "atMillisAgo", clock.Since(at).Milliseconds())
-		f.returned(at)
+// noteAnswer records an answer to any instance, and whether this instance has all the data of
+// that answer.
+func (f *feed) noteAnswer(at time.Time, complete bool) {
+	if f.storeContact.observe(at, complete) {
+		klog.InfoS("Store answers again", "dependency", f.store.name, "atMillisAgo", clock.Since(at).Milliseconds())
+		f.onRecovery(at)
 	}
 }
 
-// failed notes a poll without an answer of use, and returns the pause until
-// the next.
-func (f *feed) failed(now, asked time.Time, err error) time.Duration {
+// failed records a poll without a useful answer, and returns the pause until the next poll.
+func (f *feed) failed(now, sentAt time.Time, err error) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failures++
 	if errors.Is(err, oplog.ErrTruncated) {
 		f.known = false
 	} else {
-		f.store.failed(now, asked, err)
+		f.store.failed(now, sentAt, err)
 	}
 	pause := f.backoff(f.failures)
 	f.retryAt = now.Add(pause)
 	return pause
 }
 
-// pollSlack is how long a poll may bring updates later than others do: a
-// slow store takes some 240 ms (source: the users' kinds of trouble, 60 times its
-// usual 4 ms).
+// pollSlack is how much later than other instances' polls a poll may return updates. A slow store
+// takes about 240 ms, which is 60 times its usual 4 ms, according to the users' list of faults.
 const pollSlack = 300 * time.Millisecond
 
-// review gives up a poll that should have brought what is known otherwise, and
-// writes a line when the belief begins or ceases to be old.
+// review gives up a poll that should have returned updates known from other sources. It also
+// logs when the data becomes outdated or current.
 func (f *feed) review(now time.Time) {
 	f.mu.Lock()
-	lost := f.poll != nil && f.poll.asked.Before(f.surpassed) && now.Sub(f.surpassed) >= pollSlack
+	lost := f.poll != nil && f.poll.sentAt.Before(f.advancedElsewhere) && now.Sub(f.advancedElsewhere) >= pollSlack
 	f.mu.Unlock()
 	if lost {
-		f.giveUp("others had updates that it did not")
+		f.giveUp("other instances had updates that it had not returned")
 	}
 	f.logAge(now)
 }
@@ -249,42 +245,41 @@
 	if f.poll == nil || f.poll.givenUp {
 		return
 	}
-	klog.InfoS("Poll of the store given up", "dependency", f.store.name, "why", why,
-		"askedMillisAgo", clock.Since(f.poll.asked).Milliseconds(), "waitMillis", f.poll.wait.Milliseconds())
+	klog.InfoS("Gave up poll of the store", "dependency", f.store.name, "why", why,
+		"askedMillisAgo", clock.Since(f.poll.sentAt).Milliseconds(), "waitMillis", f.poll.wait.Milliseconds())
 	f.givenUp.Add(1)
 	f.poll.givenUp = true
 	f.poll.giveUp()
 }
 
-// logAge writes a line when the belief is no longer known to be current, and
-// when it is again.
+// logAge logs when the data is no longer known to be current, and when it is again.
 func (f *feed) logAge(now time.Time) {
 	confirmed := f.confirmed()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	old := !confirmed.IsZero() && now.Sub(confirmed) >= awayAfter
-	if old == f.old {
+	old := !confirmed.IsZero() && now.Sub(confirmed) >= unavailableAfter
+	if old == f.outdated {
 		return
 	}
-	f.old = old
-	line := "Known to be current again"
+	f.outdated = old
+	line := "Data is known to be current again"
 	if old {
-		line = "Not known to be current"
+		line = "Data is no longer known to be current"
 	}
 	fields := []any{"belief", f.name, "progress", f.progress(), "ageMillis", now.Sub(confirmed).Milliseconds(), "failures", f.failures}
 	if f.poll != nil {
-		fields = append(fields, "askedMillisAgo", now.Sub(f.poll.asked).Milliseconds())
+		fields = append(fields, "askedMillisAgo", now.Sub(f.poll.sentAt).Milliseconds())
 	}
 	klog.InfoS(line, fields...)
 }
 
-// waiting says whether a poll has been under way for so long, or whether the
-// store does not answer this instance.
-func (f *feed) waiting(now time.Time, lasts time.Duration) bool {
+// overdue reports whether a poll has been under way for at least the given duration, or the
+// store does not answer this instance, or this instance leaves the long polls to others.
+func (f *feed) overdue(now time.Time, atLeast time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.failures > 0 || !f.known || f.idles() {
 		return true
 	}
-	return f.poll != nil && now.Sub(f.poll.asked) >= lasts
+	return f.poll != nil && now.Sub(f.poll.sentAt) >= atLeast
 }
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -11,77 +11,77 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// pause waits a jittered while, so that instances do not act in step; it
-// returns false when ctx ended first.
+// pause waits for a jittered duration, so that instances do not act in step. It returns false if
+// ctx ended first.
 func (in *Instance) pause(ctx context.Context, mean time.Duration) bool {
 	return wait.For(ctx, time.Duration(float64(mean)*(0.75+0.5*in.deps.Random())))
 }
 
-// backoff is the pause after so many failures in a row.
+// backoff returns the pause after the given number of failures in a row.
 func (in *Instance) backoff(failures int) time.Duration {
 	return min(in.config.RetryEvery<<min(failures-1, 10), in.config.RetryAtMost)
 }
 
-// newTableFeed follows the operators' table.
+// newTableFeed returns the feed that follows the operators' table.
 func (in *Instance) newTableFeed() *feed {
 	return &feed{
 		Instance: in, name: "table", store: newDependency("store: table"), read: in.readTable,
-		rest: func() time.Duration {
+		pollPause: func() time.Duration {
 			if in.table.Load() == nil {
 				return in.config.RetryEvery
 			}
 			return 0
 		},
-		progress: in.Revision,
-		returned: func(time.Time) {},
+		progress:   in.Revision,
+		onRecovery: func(time.Time) {},
 	}
 }
 
-// newListFeed follows the list of backend servers.
+// newListFeed returns the feed that follows the list of backend servers.
 func (in *Instance) newListFeed() *feed {
 	return &feed{
 		Instance: in, name: "list of servers", store: newDependency("store: list of servers"), read: in.readServers,
-		rest:     in.readPause,
-		progress: func() uint64 { return uint64(in.registry.View().Position) },
-		returned: in.registry.StoreReturned,
+		pollPause:  in.readPause,
+		progress:   func() uint64 { return uint64(in.registry.View().Position) },
+		onRecovery: in.registry.StoreReturned,
 	}
 }
 
-// readTable takes in the newest configuration: after the position known, or the
-// one in force.
+// readTable applies the changes of the operators' configuration after the known position, or the
+// full configuration in force if known is false.
 func (in *Instance) readTable(ctx context.Context, known bool, wait time.Duration) (time.Time, error) {
-	asked := clock.Now()
-	changes, next, err := in.askTable(ctx, known, wait)
+	sentAt := clock.Now()
+	changes, next, err := in.fetchTable(ctx, known, wait)
 	if err != nil {
 		return time.Time{}, err
 	}
 	if changes.Table != nil {
-		in.adoptRaw(changes.Table, "store")
+		in.adoptTable(changes.Table, "store")
 	}
-	in.readEvacuation(changes, next)
-	// Of two polls at a time the earlier one may be answered later.
+	in.applyEvacuation(changes, next)
+	// With two polls under way, the earlier one may be answered later.
 	for before := in.tablePosition.Load(); ; before = in.tablePosition.Load() {
 		if uint64(next) < before {
 			return time.Time{}, nil
 		}
 		if in.tablePosition.CompareAndSwap(before, uint64(next)) {
-			return answeredAt(asked, wait), nil
+			return answeredAt(sentAt, wait), nil
 		}
 	}
 }
 
-func (in *Instance) askTable(ctx context.Context, known bool, wait time.Duration) (changes OperatorChanges, next oplog.Position, err error) {
+func (in *Instance) fetchTable(ctx context.Context, known bool, wait time.Duration) (changes OperatorChanges, next oplog.Position, err error) {
 	if known {
 		return in.deps.Tables.Since(ctx, oplog.Position(in.tablePosition.Load()), wait)
 	}
 	return in.deps.Tables.Newest(ctx)
 }
 
-// adoptRaw makes a configuration the table in force, if it is newer.
-func (in *Instance) adoptRaw(raw []byte, from string) {
+// adoptTable makes a configuration the table in force if it is newer.
+func (in *Instance) adoptTable(raw []byte, from string) {
 	revision, err := in.deps.Tables.Decode(raw)
 	if err != nil {
-		klog.ErrorS(err, "Configuration cannot be used; the table stays", "from", from)
+		klog.ErrorS(err, "Failed to decode configuration; keeping the table in force", "from", from)
 		return
 	}
 	for {
@@ -94,43 +94,43 @@
 		}
 	}
 	in.rebuild()
-	if in.usesHubs() || in.reads.Load() {
+	if in.usesHubs() || in.longPolls.Load() {
 		in.sendHeartbeats()
 	}
 	klog.InfoS("Table in force", "revision", revision.Number, "from", from, "hosts", len(revision.View.Routes),
 		"services", len(revision.View.Services), "bytes", len(raw))
 }
 
-// readPause is the pause between two reads of the list of servers.
+// readPause returns the pause between two reads of the list of servers.
 func (in *Instance) readPause() time.Duration {
 	stretched := in.config.ReadEvery + time.Duration(in.Instances()-1)*in.config.ReadPerSibling
 	return min(stretched, in.config.ReadAtMost)
 }
 
-// readServers takes in the changes of the list since the position known, or the
-// whole list.
+// readServers applies the changes of the list after the known position, or the full list if known
+// is false.
 func (in *Instance) readServers(ctx context.Context, known bool, wait time.Duration) (time.Time, error) {
-	asked := clock.Now()
+	sentAt := clock.Now()
 	if !known {
 		snapshot, err := in.deps.Servers.Newest(ctx, in.readsOn)
 		if err != nil {
 			return time.Time{}, err
 		}
-		in.list.hear(asked, false)
+		in.list.noteAnswer(sentAt, false)
 		in.registry.Take(snapshot, nil, clock.Now())
 		in.rebuild()
 		in.reviewUses(clock.Now())
-		return in.confirmedUpTo(asked, snapshot.Position), nil
+		return in.confirmedUpTo(sentAt, snapshot.Position), nil
 	}
 	from := in.registry.View().Position
 	changes, next, err := in.deps.Servers.Since(ctx, from, wait)
 	if err != nil {
 		return time.Time{}, err
 	}
-	at := answeredAt(asked, wait)
+	at := answeredAt(sentAt, wait)
 	before := in.registry.View()
-	// That the store was away must be known before a removal is judged.
-	in.list.hear(at, false)
+	// The registry must know that the store was unavailable before it judges a removal.
+	in.list.noteAnswer(at, false)
 	in.registry.Apply(changes, next, clock.Now())
 	in.rebuild()
 	if next > before.Position {
@@ -139,8 +139,8 @@
 	return in.confirmedUpTo(at, next), nil
 }
 
-// confirmedUpTo is when the list was known to end at a position; zero if more is
-// known.
+// confirmedUpTo returns at if this instance's list ends at the position. It returns zero if the
+// list is already newer.
 func (in *Instance) confirmedUpTo(at time.Time, position oplog.Position) time.Time {
 	if position < in.registry.View().Position {
 		return time.Time{}
@@ -148,14 +148,15 @@
 	return at
 }
 
-// tick lets time pass for what is believed.
+// tick runs the periodic work: it expires old state, updates the sums and shares, and detects
+// suspensions of this instance.
 func (in *Instance) tick(ctx context.Context) {
 	last, suspended := clock.Now(), clock.Suspended()
 	var reviewed, shared time.Time
 	for wait.For(ctx, in.config.Members.HeartbeatEvery) {
 		now := clock.Now()
-		if stood := now.Sub(last) - in.config.Members.HeartbeatEvery; stood > in.config.LongPause {
-			klog.InfoS("This instance stood still; what it held against servers is forgotten", "pauseMillis", stood.Milliseconds(), "suspendedMillis", (clock.Suspended() - suspended).Milliseconds())
+		if late := now.Sub(last) - in.config.Members.HeartbeatEvery; late > in.config.LongPause {
+			klog.InfoS("Cleared failures of servers after this instance was suspended", "pauseMillis", late.Milliseconds(), "suspendedMillis", (clock.Suspended() - suspended).Milliseconds())
 			in.Fleet.Forgive(now)
 		}
 		last, suspended = now, clock.Suspended()
@@ -171,14 +172,14 @@
 			reviewed = now
 			in.reviewUses(now)
 		}
-		// A sibling that died, or a server that came, changes the sums too.
+		// A dead sibling or a new server changes the sums too.
 		in.sumLoads()
-		in.budgets.share(in.sharing(now))
+		in.budgets.setInstances(in.budgetInstances(now))
 		in.forgetSiblings()
 		if now.Sub(shared) >= in.config.ReviewEvery || in.Fleet.Backpressure.Holds() {
 			shared = now
-			in.shareLimits(now)
+			in.updateLimitSharing(now)
 		}
-		in.forgetBackpressure(now)
+		in.pruneBackpressure(now)
 	}
 }
