--- a/edge/backpressure_test.go
+++ b/edge/backpressure_test.go
@@ -12,142 +12,146 @@
 	"github.com/mastwheel/mastwheel/racedetector"
 )
 
-// limitedBy is an answer that names a limit.
-func limitedBy(perSecond float64) backpressure.Statement {
+// limitReport returns a server status report with a limit in requests per second.
+func limitReport(perSecond float64) backpressure.Statement {
 	return backpressure.Statement{Kind: backpressure.Plain, Limited: true, Limit: perSecond}
 }
 
-// says has a server say something to an instance.
-func says(in *Instance, server string, said backpressure.Statement) {
+// reportStatus has an instance receive a status report of a server.
+func reportStatus(in *Instance, server string, report backpressure.Statement) {
 	now := time.Now()
-	in.Fleet.Backpressure.Server(server).Heard(said, now, now)
+	in.Fleet.Backpressure.Server(server).Heard(report, now, now)
 }
 
-// knowsLimited says whether an instance knows that so many servers are limited.
+// knowsLimited returns a check that an instance knows the given number of limited servers.
 func knowsLimited(servers int) func(in *Instance) bool {
 	return func(in *Instance) bool { return in.Fleet.Backpressure.Limited() == servers }
 }
 
-// spreadWithin is how soon all instances must know what a server has said to one of them.
-const spreadWithin = 500 * time.Millisecond
+// statusKnownWithin is the time within which a status report that one instance received must reach
+// all others.
+const statusKnownWithin = 500 * time.Millisecond
 
-func TestWhatAServerSaysIsKnownToAll(t *testing.T) {
+func TestServerStatusReportsReachAllInstances(t *testing.T) {
 	for _, size := range []int{3, 8} {
-		t.Run(fmt.Sprint(size), func(t *testing.T) { play(t, size, func(f *fleet) { testAllHear(t, f) }) })
+		t.Run(fmt.Sprint(size), func(t *testing.T) { runFleet(t, size, func(f *fleet) { testReportsReachAll(t, f) }) })
 	}
-	manyInstances(t, testAllHear)
+	manyInstances(t, testReportsReachAll)
 }
 
-func testAllHear(t *testing.T, f *fleet) {
+func testReportsReachAll(t *testing.T, f *fleet) {
 	for _, at := range []int{0, len(f.instances) - 1} {
-		says(f.instances[at], "s3", limitedBy(5.1))
-		if took := f.slowest(knowsLimited(1)); took > spreadWithin {
-			t.Errorf("known everywhere after %v", took)
+		reportStatus(f.instances[at], "s3", limitReport(5.1))
+		if took := f.slowest(knowsLimited(1)); took > statusKnownWithin {
+			t.Errorf("all instances know the limit after %v", took)
 		}
 		time.Sleep(3 * time.Second)
-		says(f.instances[len(f.instances)/2], "s3", backpressure.Statement{Kind: backpressure.Plain})
-		if took := f.slowest(knowsLimited(0)); took > spreadWithin {
-			t.Errorf("its end is known everywhere after %v", took)
+		reportStatus(f.instances[len(f.instances)/2], "s3", backpressure.Statement{Kind: backpressure.Plain})
+		if took := f.slowest(knowsLimited(0)); took > statusKnownWithin {
+			t.Errorf("all instances know the end of the limit after %v", took)
 		}
 		time.Sleep(3 * time.Second)
 		if took := f.slowest(knowsLimited(0)); took > 0 {
-			t.Errorf("it has come back at some, for %v", took)
+			t.Errorf("some instances knew the ended limit again for %v", took)
 		}
 	}
-	says(f.instances[1], "s4", backpressure.Statement{Kind: backpressure.Plain, Leaving: true})
-	leaves := func(in *Instance) bool { return in.Fleet.Server("s4").Pressure.IsLeaving() }
-	if took := f.slowest(leaves); took > spreadWithin {
-		t.Errorf("that it leaves is known everywhere after %v", took)
+	reportStatus(f.instances[1], "s4", backpressure.Statement{Kind: backpressure.Plain, Leaving: true})
+	knowsDrain := func(in *Instance) bool { return in.Fleet.Server("s4").Pressure.IsLeaving() }
+	if took := f.slowest(knowsDrain); took > statusKnownWithin {
+		t.Errorf("all instances know the drain after %v", took)
 	}
 }
 
-// An instance that starts, or was cut off, hears it as it is heard.
-func TestAnInstanceThatAppearsHearsWhatServersSay(t *testing.T) {
+// An instance that starts, or that was cut off, receives the reports once the others receive its
+// heartbeats.
+func TestANewInstanceReceivesServerStatusReports(t *testing.T) {
 	for _, size := range []int{3, 8, 58} {
 		if racedetector.On && size > 8 {
 			continue
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { testNewcomerHears(t, newFleet(t, size+1, DefaultConfig())) })
+			synctest.Test(t, func(t *testing.T) { testNewInstanceReceivesReports(t, newFleet(t, size+1, DefaultConfig())) })
 		})
 	}
 }
 
-func testNewcomerHears(t *testing.T, f *fleet) {
+func testNewInstanceReceivesReports(t *testing.T, f *fleet) {
 	const servers = 10
 	learn := func(others []*Instance) {
 		for i := range servers {
-			says(others[i%len(others)], fmt.Sprint("s", i), limitedBy(5))
+			reportStatus(others[i%len(others)], fmt.Sprint("s", i), limitReport(5))
 		}
 	}
-	if took := f.newcomerKnows(learn, knowsLimited(servers)); took > newcomerWithin {
-		t.Errorf("knows all after %v", took)
+	if took := f.newInstanceKnows(learn, knowsLimited(servers)); took > newInstanceKnowsWithin {
+		t.Errorf("knows all limits after %v", took)
 	}
 }
 
-// needyServer is a server that takes so many requests a second while it is in need.
-type needyServer struct {
-	name  string
-	limit float64
-	need  bool
-	// since is from when on it has named this limit.
-	since time.Time
-	got   []time.Time
+// limitedServer is a server that reports a limit in requests per second while limited is set.
+type limitedServer struct {
+	name    string
+	limit   float64
+	limited bool
+	// since is the time from which the server reports this limit.
+	since    time.Time
+	received []time.Time
 }
 
-// names has it name another limit, or none.
-func (s *needyServer) names(limit float64, need bool) {
-	s.limit, s.need, s.since = limit, need, time.Now()
+// setLimit changes the limit, or ends it.
+func (s *limitedServer) setLimit(limit float64, limited bool) {
+	s.limit, s.limited, s.since = limit, limited, time.Now()
 }
 
-// ask has an instance send it a request, if it may.
-func (s *needyServer) ask(in *Instance) {
+// sendRequest has an instance send the server a request if the limit allows it.
+func (s *limitedServer) sendRequest(in *Instance) {
 	now := time.Now()
 	known := in.Fleet.Backpressure.Server(s.name)
 	if known.Look(backpressure.PlainWork, now) != backpressure.Clear || known.Send(backpressure.PlainWork, now) != backpressure.Clear {
 		return
 	}
-	s.got = append(s.got, now)
-	said := backpressure.Statement{Kind: backpressure.Plain, Limited: s.need, Limit: s.limit}
-	known.Heard(said, now, now)
+	s.received = append(s.received, now)
+	report := backpressure.Statement{Kind: backpressure.Plain, Limited: s.limited, Limit: s.limit}
+	known.Heard(report, now, now)
 }
 
-// The users' rules: what a limited server may get in a spell, and from when on.
+// The users' protocol bounds the requests that a limited server receives within limitWindow, from
+// limitSettles after the limit changed.
 const (
-	limitSpell  = 4 * time.Second
-	limitStable = 3 * time.Second
+	limitWindow  = 4 * time.Second
+	limitSettles = 3 * time.Second
 )
 
-// check counts what the server got in the last spell.
-func (s *needyServer) check(t *testing.T) {
+// check compares the requests that the server received in the last limitWindow with its limit.
+func (s *limitedServer) check(t *testing.T) {
 	now := time.Now()
-	if !s.need || now.Sub(s.since) < limitStable+limitSpell {
+	if !s.limited || now.Sub(s.since) < limitSettles+limitWindow {
 		return
 	}
 	count := 0
-	for _, at := range s.got {
-		if now.Sub(at) < limitSpell {
+	for _, at := range s.received {
+		if now.Sub(at) < limitWindow {
 			count++
 		}
 	}
-	if allowed := 1.5*s.limit*limitSpell.Seconds() + 5; float64(count) > allowed {
-		t.Errorf("a server that takes %v a second got %d in %v, allowed %v", s.limit, count, limitSpell, allowed)
+	if allowed := 1.5*s.limit*limitWindow.Seconds() + 5; float64(count) > allowed {
+		t.Errorf("a server with a limit of %v requests per second received %d in %v, allowed %v", s.limit, count, limitWindow, allowed)
 	}
 }
 
-// TestALimitHoldsWhateverHappensToInstances has requests come to all instances while they
-// are stopped, start again and are cut off, and servers change what they take.
-func TestALimitHoldsWhateverHappensToInstances(t *testing.T) {
-	// The last five had an instance send what was left of a part that was no longer its, or
-	// several that were cut off ask a server too often.
+// TestLimitsHoldUnderInstanceFaults sends requests through all instances while these are stopped,
+// restarted and cut off, and while servers change their limits.
+func TestLimitsHoldUnderInstanceFaults(t *testing.T) {
+	// With the last five seeds an instance once used up the rest of a share of the rate limit
+	// that it no longer had, or several instances that were cut off sent a server too many
+	// requests.
 	for _, seed := range []uint64{0, 1, 4, 15, 17, 46, 61, 76} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { testLimitHolds(t, rand.New(rand.NewPCG(seed, 11))) })
+			synctest.Test(t, func(t *testing.T) { testLimitsHold(t, rand.New(rand.NewPCG(seed, 11))) })
 		})
 	}
 }
 
-func testLimitHolds(t *testing.T, random *rand.Rand) {
+func testLimitsHold(t *testing.T, random *rand.Rand) {
 	const size = 8
 	f := newFleet(t, size, DefaultConfig())
 	stops := make([]context.CancelFunc, size)
@@ -156,15 +160,15 @@
 	}
 	time.Sleep(5 * time.Second)
 	down := make([]time.Time, size)
-	servers := []*needyServer{{name: "s0"}, {name: "s1"}, {name: "s2"}}
+	servers := []*limitedServer{{name: "s0"}, {name: "s1"}, {name: "s2"}}
 	began := time.Now()
-	nextFault, nextNeed := began.Add(time.Second), began
+	nextFault, nextLimit := began.Add(time.Second), began
 	for time.Since(began) < 90*time.Second {
 		now := time.Now()
-		if now.After(nextNeed) {
-			nextNeed = now.Add(time.Duration(3+random.IntN(15)) * time.Second)
+		if now.After(nextLimit) {
+			nextLimit = now.Add(time.Duration(3+random.IntN(15)) * time.Second)
 			one := servers[random.IntN(len(servers))]
-			one.names([]float64{0.3, 3, 5.1, 30}[random.IntN(4)], random.IntN(4) > 0)
+			one.setLimit([]float64{0.3, 3, 5.1, 30}[random.IntN(4)], random.IntN(4) > 0)
 		}
 		if now.After(nextFault) {
 			nextFault = now.Add(time.Duration(500+random.IntN(4000)) * time.Millisecond)
@@ -186,7 +190,7 @@
 		}
 		for i, in := range f.instances {
 			if down[i].IsZero() && in.Ready() && random.IntN(2) == 0 {
-				servers[random.IntN(len(servers))].ask(in)
+				servers[random.IntN(len(servers))].sendRequest(in)
 			}
 		}
 		for _, one := range servers {
@@ -203,36 +207,37 @@
 	f.running.Wait()
 }
 
-// controlBytes is what control may send a second, in bytes (source: the size to design for).
-const controlBytes = 20_000.0
+// controlBytesPerSecond bounds the control traffic of one instance, in bytes per second (source: the
+// size to design for).
+const controlBytesPerSecond = 20_000.0
 
-// What is sent of limited servers costs nothing while none is, and little else.
+// Reports of limited servers cause no traffic while no server is limited, and little otherwise.
 func TestWhatIsSentOfLimitedServersIsLittle(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		rate := func() float64 {
 			f.mu.Lock()
 			before := f.bytes
 			f.mu.Unlock()
-			const spell = 5 * time.Second
-			time.Sleep(spell)
+			const window = 5 * time.Second
+			time.Sleep(window)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return float64(f.bytes-before) / spell.Seconds() / float64(len(f.instances))
+			return float64(f.bytes-before) / window.Seconds() / float64(len(f.instances))
 		}
 		const servers = 40
 		for i := range servers {
 			f.store.register(fmt.Sprint("x", i), false)
 		}
 		time.Sleep(5 * time.Second)
-		calm := rate()
+		baseline := rate()
 		for i := range servers {
-			says(f.instances[i%len(f.instances)], fmt.Sprint("x", i), limitedBy(5))
+			reportStatus(f.instances[i%len(f.instances)], fmt.Sprint("x", i), limitReport(5))
 		}
 		learning := rate()
 		later := rate()
-		t.Logf("%.0f bytes a second and instance; %.0f in the 5 s after 40 servers named limits, %.0f later", calm, learning, later)
-		if most := max(learning, later); most > controlBytes {
-			t.Errorf("%.0f bytes a second and instance, %v are for control", most, controlBytes)
+		t.Logf("%.0f bytes per second and instance before; %.0f in the 5 s after 40 servers reported limits, %.0f later", baseline, learning, later)
+		if most := max(learning, later); most > controlBytesPerSecond {
+			t.Errorf("%.0f bytes per second and instance, at most %v are allowed for control traffic", most, controlBytesPerSecond)
 		}
 	})
 }
--- a/edge/cold_test.go
+++ b/edge/cold_test.go
@@ -9,9 +9,9 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Servers of a service that bounds what cold ones get are sent no more than that.
-func TestServersOnTheListThatAreColdAreSpared(t *testing.T) {
-	in := candidate("a", new(claims), workersOf(0, 0))
+// Cold servers of a service with a cold rate are sent no more requests than that rate allows.
+func TestColdServersAreSentABoundedRate(t *testing.T) {
+	in := bareInstance("a", new(claims), enginesOf(0, 0))
 	in.config.ColdOverage, in.config.ColdSlack = 1.5, 5
 	in.table.Store(&Revision{Number: 1, View: &table.View{Services: map[string]*table.ServiceView{
 		"bounded": {Name: "bounded", ColdRate: 1}, "free": {Name: "free"},
@@ -30,9 +30,9 @@
 		return count
 	}
 	if cold, warm, free := sent("cold"), sent("warm"), sent("any"); cold > 5 || warm != 100 || free != 100 {
-		t.Errorf("%d to a cold server, %d to a warm one, %d to one that bears any number", cold, warm, free)
+		t.Errorf("%d requests sent to a cold server, %d to a warm one, %d to a cold one of a service without a bound", cold, warm, free)
 	}
 	if n := in.Fleet.Backpressure.Cold(time.Now()); n != 1 {
-		t.Errorf("%d are counted as cold", n)
+		t.Errorf("%d servers are counted as cold", n)
 	}
 }
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -17,19 +17,19 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// claims is the store's part of the lease on orders, in memory.
+// claims is an in-memory store for the lease on role orders.
 type claims struct {
 	mu    sync.Mutex
 	state lease.State
 	end   oplog.Position
-	looks int
+	reads int
 }
 
 // Last implements Claims.
 func (c *claims) Last(context.Context, string) (lease.State, oplog.Position, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.looks++
+	c.reads++
 	return c.state, c.end, nil
 }
 
@@ -45,28 +45,28 @@
 	return c.state, true, nil
 }
 
-// given is one order as an engine saw it.
-type given struct {
+// receivedOrder is a role order with the time at which an engine received it.
+type receivedOrder struct {
 	at    time.Time
 	order RoleOrder
 }
 
-// engines takes orders in memory, and carries them out after a while.
-type engines struct {
+// fakeEngines is a set of engines in memory that receive role orders.
+type fakeEngines struct {
 	mu     sync.Mutex
 	roles  map[string]string
-	orders map[string][]given
+	orders map[string][]receivedOrder
 	stale  bool
-	// mute holds those that do not report, and asked counts the calls.
-	mute  map[string]bool
-	asked int
+	// silent holds the engines that report no status, and calls counts the calls to all engines.
+	silent map[string]bool
+	calls  int
 }
 
 // SetRole implements Engines.
-func (e *engines) SetRole(_ context.Context, server *registry.Entry, decide func(EngineStatus) (RoleOrder, bool)) error {
+func (e *fakeEngines) SetRole(_ context.Context, server *registry.Entry, decide func(EngineStatus) (RoleOrder, bool)) error {
 	e.mu.Lock()
-	e.asked++
-	if e.mute[server.ID] {
+	e.calls++
+	if e.silent[server.ID] {
 		e.mu.Unlock()
 		return engine.ErrRefused
 	}
@@ -78,7 +78,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.orders[server.ID] = append(e.orders[server.ID], given{time.Now(), order})
+	e.orders[server.ID] = append(e.orders[server.ID], receivedOrder{time.Now(), order})
 	if e.stale {
 		return engine.ErrStale
 	}
@@ -86,53 +86,56 @@
 	return nil
 }
 
-// deaf is a network that takes nothing anywhere.
-type deaf struct{}
+// droppingSocket is a socket that drops every datagram and receives none.
+type droppingSocket struct{}
 
 // Send implements Socket.
-func (deaf) Send(string, []byte) error { return nil }
+func (droppingSocket) Send(string, []byte) error { return nil }
 
 // Receive implements Socket.
-func (deaf) Receive(ctx context.Context, _ func(heartbeat.Message), _ func(error)) error {
+func (droppingSocket) Receive(ctx context.Context, _ func(heartbeat.Message), _ func(error)) error {
 	<-ctx.Done()
 	return nil
 }
 
-const apart = 3 * time.Second
+// holderPause is the minimum time between the orders of two lease holders.
+const holderPause = 3 * time.Second
 
-// candidate is an instance with only what orders need.
-func candidate(name string, shared *claims, workers *engines) *Instance {
+// bareInstance returns an instance with only the parts that role orders need.
+func bareInstance(name string, shared *claims, engines *fakeEngines) *Instance {
 	config := DefaultConfig()
 	config.Name = name
-	config.Lease = LeaseConfig(apart)
+	config.Lease = LeaseConfig(holderPause)
 	in := &Instance{
 		config:   config,
-		deps:     Deps{Claims: shared, Engines: workers, Socket: deaf{}, Random: func() float64 { return 0.5 }},
+		deps:     Deps{Claims: shared, Engines: engines, Socket: droppingSocket{}, Random: func() float64 { return 0.5 }},
 		registry: registry.New(registry.DefaultConfig()),
 		peers:    newPeers("", nil),
 		members:  newMembers(config),
 	}
 	in.init()
-	in.self.Store(1)
+	in.incarnation.Store(1)
 	in.table.Store(&Revision{Number: 1, View: &table.View{Services: map[string]*table.ServiceView{
 		"model": {Name: "model", Type: table.TypeModel, Engine: table.EngineView{Switch: 6 * time.Second}},
 	}}})
 	return in
 }
 
-func (in *Instance) see(workers *engines) {
-	workers.mu.Lock()
-	defer workers.mu.Unlock()
+// readEngines replaces the list of servers by the current engines.
+func (in *Instance) readEngines(engines *fakeEngines) {
+	engines.mu.Lock()
+	defer engines.mu.Unlock()
 	snapshot := registry.Snapshot{Position: in.registry.View().Position + 1}
-	for id, role := range workers.roles {
+	for id, role := range engines.roles {
 		snapshot.Entries = append(snapshot.Entries, registry.Entry{ID: id, Service: "model", Role: role})
 	}
 	in.registry.Reset(snapshot, time.Now())
 	in.rebuild()
 }
 
-func workersOf(prefill, decode int) *engines {
-	e := &engines{roles: make(map[string]string), orders: make(map[string][]given)}
+// enginesOf returns engines in the given numbers for each role.
+func enginesOf(prefill, decode int) *fakeEngines {
+	e := &fakeEngines{roles: make(map[string]string), orders: make(map[string][]receivedOrder)}
 	for i := range prefill {
 		e.roles[fmt.Sprintf("p%d", i)] = table.RolePrefill
 	}
@@ -142,48 +145,48 @@
 	return e
 }
 
-// TestOrdersComeFromOneHolderAtATime: instances that do not hear each other all
-// want to change roles, and each stops soon after its first order. Engines see
-// one holder for each token, rising tokens, and a pause between two holders'
-// orders.
+// TestOrdersComeFromOneHolderAtATime runs instances that have no contact with each other, that all
+// want to change roles, and that stop soon after their first order. Engines see one holder for each
+// fencing token, rising tokens, and a pause between the orders of two holders.
 func TestOrdersComeFromOneHolderAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, workers := new(claims), workersOf(30, 1)
+		shared, engines := new(claims), enginesOf(30, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		for _, name := range []string{"a", "b", "c"} {
-			in := candidate(name, shared, workers)
-			mine, stop := context.WithCancel(ctx)
-			running.Go(func() { in.orders.run(mine) })
+			in := bareInstance(name, shared, engines)
+			own, stop := context.WithCancel(ctx)
+			running.Go(func() { in.orders.run(own) })
 			running.Go(func() {
 				defer stop()
-				for ctx.Err() == nil && !workers.hasOrderFrom(name) {
-					in.see(workers)
+				for ctx.Err() == nil && !engines.hasOrderFrom(name) {
+					in.readEngines(engines)
 					time.Sleep(100 * time.Millisecond)
 				}
-				// A holder's last orders come when its time is nearly up.
+				// A holder may still give orders shortly before its lease expires.
 				time.Sleep(orderWindow)
 			})
 		}
 		time.Sleep(2 * time.Minute)
 		cancel()
 		running.Wait()
-		var all []given
+		var all []receivedOrder
 		holders := make(map[string]bool)
-		for _, orders := range workers.orders {
+		for _, orders := range engines.orders {
 			for _, one := range orders {
 				all = append(all, one)
 				holders[one.order.Holder] = true
 			}
 		}
 		if len(holders) < 3 {
-			t.Fatalf("%d instances gave orders, three wanted to", len(holders))
+			t.Fatalf("%d instances gave orders, expected three", len(holders))
 		}
 		checkHolders(t, all)
 	})
 }
 
-func (e *engines) hasOrderFrom(holder string) bool {
+// hasOrderFrom reports whether any engine received an order from a holder.
+func (e *fakeEngines) hasOrderFrom(holder string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, orders := range e.orders {
@@ -196,41 +199,40 @@
 	return false
 }
 
-// checkHolders checks the orders of all engines together, which is more than
-// the users ask.
-func checkHolders(t *testing.T, all []given) {
+// checkHolders checks the orders of all engines together, which is stricter than the users require.
+func checkHolders(t *testing.T, all []receivedOrder) {
 	t.Helper()
 	holders := make(map[uint64]string)
 	for _, one := range all {
 		if holder, seen := holders[one.order.Token]; seen && holder != one.order.Holder {
-			t.Errorf("token %d was used by %s and by %s", one.order.Token, holder, one.order.Holder)
+			t.Errorf("token %d was used by both %s and %s", one.order.Token, holder, one.order.Holder)
 		}
 		holders[one.order.Token] = one.order.Holder
 		for _, other := range all {
 			between := other.at.Sub(one.at)
-			if other.order.Holder != one.order.Holder && between >= 0 && between < apart {
-				t.Errorf("%s gave an order %v after %s", other.order.Holder, between, one.order.Holder)
+			if other.order.Holder != one.order.Holder && between >= 0 && between < holderPause {
+				t.Errorf("%s gave an order %v after %s did", other.order.Holder, between, one.order.Holder)
 			}
 			if between > 0 && other.order.Token < one.order.Token {
-				t.Errorf("token %d after %d", other.order.Token, one.order.Token)
+				t.Errorf("token %d was used after token %d", other.order.Token, one.order.Token)
 			}
 		}
 	}
 }
 
-// TestAStaleHolderClaimsAnew: an engine that has seen a higher token refuses;
-// the same token is not used again.
-func TestAStaleHolderClaimsAnew(t *testing.T) {
+// TestAHolderWithAStaleTokenClaimsAgain checks that a token is not used again after an engine that
+// has seen a higher one refused it.
+func TestAHolderWithAStaleTokenClaimsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, workers := new(claims), workersOf(3, 1)
-		workers.stale = true
-		in := candidate("a", shared, workers)
-		in.see(workers)
+		shared, engines := new(claims), enginesOf(3, 1)
+		engines.stale = true
+		in := bareInstance("a", shared, engines)
+		in.readEngines(engines)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		in.orders.run(ctx)
 		tokens := make(map[uint64]bool)
-		for _, orders := range workers.orders {
+		for _, orders := range engines.orders {
 			for _, one := range orders {
 				if tokens[one.order.Token] {
 					t.Errorf("token %d was used again after it was refused", one.order.Token)
@@ -239,39 +241,39 @@
 			}
 		}
 		if len(tokens) < 2 {
-			t.Fatalf("%d tokens", len(tokens))
+			t.Fatalf("%d tokens were used, at least two are expected", len(tokens))
 		}
 	})
 }
 
-// ordersWithin plays one instance for a while, and counts its orders.
-func ordersWithin(workers *engines, begin func(in *Instance), lasts time.Duration) (orders int) {
-	in := candidate("a", new(claims), workers)
-	in.see(workers)
-	begin(in)
+// countOrders runs one instance for a while and returns the number of its orders.
+func countOrders(engines *fakeEngines, prepare func(in *Instance), lasts time.Duration) (orders int) {
+	in := bareInstance("a", new(claims), engines)
+	in.readEngines(engines)
+	prepare(in)
 	ctx, cancel := context.WithTimeout(context.Background(), lasts)
 	defer cancel()
-	var seeing sync.WaitGroup
-	seeing.Go(func() {
+	var reading sync.WaitGroup
+	reading.Go(func() {
 		for ctx.Err() == nil {
-			in.see(workers)
+			in.readEngines(engines)
 			time.Sleep(time.Second)
 		}
 	})
 	in.orders.run(ctx)
-	seeing.Wait()
-	for _, given := range workers.orders {
-		orders += len(given)
+	reading.Wait()
+	for _, received := range engines.orders {
+		orders += len(received)
 	}
 	return orders
 }
 
-// Of hundreds of engines that have nothing to do none changes its role; a few change it in
-// any case, and many where those of the role that is short are in use.
-func TestManyEnginesChangeTheirRolesOnlyInDemand(t *testing.T) {
+// Of hundreds of idle engines none changes its role. Where there are only some tens, a few change
+// roles even when idle. Many change roles when the engines of the role in demand are in use.
+func TestManyEnginesChangeRolesOnlyOnDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		idle := func(*Instance) {}
-		if n := ordersWithin(workersOf(140, 260), idle, time.Minute); n > 0 {
+		if n := countOrders(enginesOf(140, 260), idle, time.Minute); n > 0 {
 			t.Errorf("%d orders though all engines are idle", n)
 		}
 		used := func(in *Instance) {
@@ -279,35 +281,35 @@
 				in.Fleet.Server(fmt.Sprintf("d%d", i)).Hold(1000)
 			}
 		}
-		if n := ordersWithin(workersOf(140, 260), used, time.Minute); n < 40 {
-			t.Errorf("%d orders though half of the engines that generate are in use", n)
+		if n := countOrders(enginesOf(140, 260), used, time.Minute); n < 40 {
+			t.Errorf("%d orders though half of the decode engines are in use", n)
 		}
-		if n := ordersWithin(workersOf(20, 50), idle, time.Minute); n != 4 {
-			t.Errorf("%d orders where four are few", n)
+		if n := countOrders(enginesOf(20, 50), idle, time.Minute); n != 4 {
+			t.Errorf("%d orders, expected four with few engines", n)
 		}
 	})
 }
 
-// An engine that cannot be asked keeps no other from its order.
-func TestAnEngineThatDoesNotReportIsPassedOver(t *testing.T) {
+// An engine that does not report its status does not block the orders to others.
+func TestAnEngineThatDoesNotReportIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		workers := workersOf(5, 5)
-		workers.mute = map[string]bool{"p0": true, "p1": true}
-		if n := ordersWithin(workers, func(*Instance) {}, 40*time.Second); n < 3 {
-			t.Errorf("%d orders, three are wanted", n)
+		engines := enginesOf(5, 5)
+		engines.silent = map[string]bool{"p0": true, "p1": true}
+		if n := countOrders(engines, func(*Instance) {}, 40*time.Second); n < 3 {
+			t.Errorf("%d orders, at least three are expected", n)
 		}
-		if workers.asked > 40 {
-			t.Errorf("%d calls to engines", workers.asked)
+		if engines.calls > 40 {
+			t.Errorf("%d calls to engines", engines.calls)
 		}
 	})
 }
 
-// Instances that want the same orders look at the lease no more often than it may change
-// hands.
-func TestFewLooksAtALeaseThatAnotherHolds(t *testing.T) {
+// Instances that want to give the same orders read the lease no more often than its holder can
+// change.
+func TestALeaseThatAnotherInstanceHoldsIsRarelyRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, workers := new(claims), workersOf(30, 1)
-		// Its holder renews it for as long as this lasts.
+		shared, engines := new(claims), enginesOf(30, 1)
+		// The holder renews the lease throughout the test.
 		var renewing sync.WaitGroup
 		renewing.Go(func() {
 			for i := range 200 {
@@ -316,64 +318,64 @@
 				time.Sleep(700 * time.Millisecond)
 			}
 		})
-		in := candidate("a", shared, workers)
-		in.see(workers)
+		in := bareInstance("a", shared, engines)
+		in.readEngines(engines)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
 		in.orders.run(ctx)
 		renewing.Wait()
 		shared.mu.Lock()
 		defer shared.mu.Unlock()
-		if looks := shared.looks - 200; looks > 40 || len(workers.orders) > 0 {
-			t.Errorf("%d looks and %d orders in two minutes", looks, len(workers.orders))
+		if reads := shared.reads - 200; reads > 40 || len(engines.orders) > 0 {
+			t.Errorf("%d reads of the lease and %d orders in two minutes", reads, len(engines.orders))
 		}
 	})
 }
 
 func TestNoOrderWhileEnginesStillRegister(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, workers := new(claims), workersOf(3, 1)
-		in := candidate("a", shared, workers)
+		shared, engines := new(claims), enginesOf(3, 1)
+		in := bareInstance("a", shared, engines)
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		running.Go(func() { in.orders.run(ctx) })
 		for i := range 6 {
-			workers.mu.Lock()
-			workers.roles[fmt.Sprintf("late%d", i)] = table.RoleDecode
-			workers.mu.Unlock()
-			in.see(workers)
+			engines.mu.Lock()
+			engines.roles[fmt.Sprintf("late%d", i)] = table.RoleDecode
+			engines.mu.Unlock()
+			in.readEngines(engines)
 			time.Sleep(time.Second)
 		}
-		workers.mu.Lock()
-		early := len(workers.orders)
-		workers.mu.Unlock()
+		engines.mu.Lock()
+		early := len(engines.orders)
+		engines.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		cancel()
 		running.Wait()
-		if early > 0 || len(workers.orders) == 0 {
-			t.Fatalf("%d engines got orders while others registered, %d in all", early, len(workers.orders))
+		if early > 0 || len(engines.orders) == 0 {
+			t.Fatalf("%d engines received orders while others registered, %d in total", early, len(engines.orders))
 		}
 	})
 }
 
-// told is a sibling that answers with a fixed snapshot.
-type told struct {
+// fixedSibling is a sibling that answers with a fixed snapshot.
+type fixedSibling struct {
 	snapshot Snapshot
-	asked    int
+	calls    int
 }
 
 // Snapshot implements Siblings.
-func (s *told) Snapshot(context.Context, string, Have) (Snapshot, error) {
-	s.asked++
+func (s *fixedSibling) Snapshot(context.Context, string, Have) (Snapshot, error) {
+	s.calls++
 	return s.snapshot, nil
 }
 
-// TestASiblingThatIsAheadIsAsked: an instance whose store does not answer takes
-// list and table from a sibling, and asks no sibling that knows no more.
-func TestASiblingThatIsAheadIsAsked(t *testing.T) {
+// TestASiblingThatIsAheadIsQueried checks that an instance whose store does not answer reads the list
+// and the table from a sibling, and queries no sibling that knows no more than itself.
+func TestASiblingThatIsAheadIsQueried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		in := candidate("a", new(claims), workersOf(0, 0))
-		sibling := &told{snapshot: Snapshot{Servers: &registry.Snapshot{Entries: []registry.Entry{{ID: "x", Service: "s"}}, Position: 9}}}
+		in := bareInstance("a", new(claims), enginesOf(0, 0))
+		sibling := &fixedSibling{snapshot: Snapshot{Servers: &registry.Snapshot{Entries: []registry.Entry{{ID: "x", Service: "s"}}, Position: 9}}}
 		in.deps.Siblings = sibling
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
@@ -383,16 +385,16 @@
 		cancel()
 		running.Wait()
 		if in.Servers().ByRun["x"] == nil || in.registry.View().Position != 9 {
-			t.Fatalf("%+v", in.registry.View())
+			t.Fatalf("the list is %+v", in.registry.View())
 		}
-		if sibling.asked != 1 {
-			t.Fatalf("asked %d times", sibling.asked)
+		if sibling.calls != 1 {
+			t.Fatalf("queried %d times", sibling.calls)
 		}
 	})
 }
 
 func TestHeartbeatsToManySiblings(t *testing.T) {
-	in := candidate("a", new(claims), workersOf(0, 0))
+	in := bareInstance("a", new(claims), enginesOf(0, 0))
 	in.config.Zone = "near"
 	var addresses []string
 	for i := range 60 {
@@ -418,34 +420,35 @@
 			want *= every
 		}
 		if sent[address] != want {
-			t.Errorf("sibling %d got %d heartbeats, not %d", i, sent[address], want)
+			t.Errorf("sibling %d received %d heartbeats, not %d", i, sent[address], want)
 		}
 	}
 }
 
-// truncated is a log that drops its history again and again.
-type truncated struct{ calls int }
+// truncatingLog is a log that drops its history before each read.
+type truncatingLog struct{ calls int }
 
 // Newest implements Tables.
-func (l *truncated) Newest(context.Context) (OperatorChanges, oplog.Position, error) {
+func (l *truncatingLog) Newest(context.Context) (OperatorChanges, oplog.Position, error) {
 	l.calls++
 	return OperatorChanges{}, 1, nil
 }
 
 // Since implements Tables.
-func (l *truncated) Since(context.Context, oplog.Position, time.Duration) (OperatorChanges, oplog.Position, error) {
+func (l *truncatingLog) Since(context.Context, oplog.Position, time.Duration) (OperatorChanges, oplog.Position, error) {
 	l.calls++
 	return OperatorChanges{}, 0, oplog.ErrTruncated
 }
 
 // Decode implements Tables.
-func (l *truncated) Decode([]byte) (*Revision, error) { return &Revision{}, nil }
+func (l *truncatingLog) Decode([]byte) (*Revision, error) { return &Revision{}, nil }
 
-// TestHistoryThatIsDroppedAgainAndAgain costs few calls: all are priced.
-func TestHistoryThatIsDroppedAgainAndAgain(t *testing.T) {
+// TestRepeatedTruncationCostsFewCalls checks that a log that keeps dropping its history is read
+// rarely, because each call to the store is priced.
+func TestRepeatedTruncationCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		in := candidate("a", new(claims), workersOf(0, 0))
-		log := new(truncated)
+		in := bareInstance("a", new(claims), enginesOf(0, 0))
+		log := new(truncatingLog)
 		in.deps.Tables = log
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
--- a/edge/entry_test.go
+++ b/edge/entry_test.go
@@ -10,11 +10,12 @@
 	"github.com/mastwheel/mastwheel/member"
 )
 
-// listed is a ready instance of zone a0 that knows siblings in four zones of two regions.
-func listed(t *testing.T, perZone, atMost int) *Instance {
+// instanceWithSiblings returns a ready instance of zone a0 that knows siblings in four zones of two
+// regions.
+func instanceWithSiblings(t *testing.T, perZone, atMost int) *Instance {
 	t.Helper()
-	in := candidate("self", new(claims), workersOf(1, 1))
-	in.see(workersOf(1, 1))
+	in := bareInstance("self", new(claims), enginesOf(1, 1))
+	in.readEngines(enginesOf(1, 1))
 	in.config.Zone, in.config.CallerAddress, in.config.EntriesAtMost = "a0", "a0-self", atMost
 	in.config.RegionOf = map[string]string{"a0": "a", "a1": "a", "b0": "b", "b1": "b"}
 	for zone := range in.config.RegionOf {
@@ -26,29 +27,29 @@
 	return in
 }
 
-func TestCallersAreNamedInstancesOfTheirRegion(t *testing.T) {
-	in := listed(t, 3, 0)
+func TestCallersAreSentInstancesOfTheirRegion(t *testing.T) {
+	in := instanceWithSiblings(t, 3, 0)
 	for _, region := range []string{"a", "b"} {
 		for _, address := range in.Entry(region, region+"1") {
 			if !strings.HasPrefix(address, region) {
-				t.Errorf("a caller of region %s is named %s", region, address)
+				t.Errorf("a caller of region %s is sent %s", region, address)
 			}
 		}
 	}
 	if n := len(in.Entry("c", "c0")); n != 13 {
-		t.Errorf("a caller of a region without instances is named %d of 13", n)
+		t.Errorf("a caller of a region without instances is sent %d of 13", n)
 	}
 	if n := len(in.Entry("", "")); n != 13 {
-		t.Errorf("a caller that names no region is named %d of 13", n)
+		t.Errorf("a caller that names no region is sent %d of 13", n)
 	}
 }
 
-func TestThoseOfTheZoneComeFirstWhereNotAllFit(t *testing.T) {
-	in := listed(t, 3, 4)
+func TestInstancesOfTheCallersZoneComeFirstIfNotAllFit(t *testing.T) {
+	in := instanceWithSiblings(t, 3, 4)
 	for range 20 {
 		first := in.Entry("b", "b1")[:3]
 		if slices.ContainsFunc(first, func(address string) bool { return !strings.HasPrefix(address, "b1") }) {
-			t.Fatalf("named first: %v", first)
+			t.Fatalf("first entries: %v", first)
 		}
 	}
 	in.config.EntriesAtMost = 6
@@ -58,6 +59,6 @@
 		mixed = mixed || slices.ContainsFunc(first, func(address string) bool { return !strings.HasPrefix(address, "b1") })
 	}
 	if in.deps.Random = func() float64 { return 0.9 }; !mixed && strings.HasPrefix(in.Entry("b", "b1")[0], "b1") {
-		t.Error("those of one zone come first though all fit")
+		t.Error("instances of one zone come first though all instances of the region fit")
 	}
 }
--- a/edge/fleet_test.go
+++ b/edge/fleet_test.go
@@ -21,8 +21,7 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// fleet is whole instances on a virtual clock, with a store and a network in
-// memory.
+// fleet is a set of complete instances on a virtual clock, with a store and a network in memory.
 type fleet struct {
 	t         *testing.T
 	config    Config
@@ -32,65 +31,68 @@
 
 	mu    sync.Mutex
 	inbox map[string]chan []byte
-	// cut holds addresses that nothing reaches, and sent counts what was sent.
+	// cut holds the addresses that are cut off from the network.
 	cut map[string]bool
-	// apart is a zone that neither reaches the others nor is reached by them.
-	apart string
-	zones map[string]string // by address
+	// isolatedZone is a zone that is cut off from all others.
+	isolatedZone string
+	zones        map[string]string // by address
+	// sent and bytes count the datagrams that were sent and their bytes.
 	sent  int
 	bytes int
 }
 
-// Times of the stand-in store and network, about the users' own.
+// Times of the store and the network in memory. They are close to those of the users.
 const (
-	storeTakes      = 4 * time.Millisecond
-	networkTakes    = time.Millisecond
-	storeGivenUpFor = 1500 * time.Millisecond
+	storeLatency   = 4 * time.Millisecond
+	networkLatency = time.Millisecond
+	storeTimeout   = 1500 * time.Millisecond
 )
 
-// topics of the stand-in store.
+// Topics of the store in memory.
 const (
 	topicTable   = "table"
 	topicServers = "servers"
 )
 
-// tableChange is one record of the operators: the next configuration, or the evacuation of a
-// zone.
+// tableChange is one record of the operators: the next configuration, or the start or end of the
+// evacuation of a zone.
 type tableChange struct {
 	configuration int
 	zone          string
 	evacuated     bool
 }
 
-// memoryStore is a log of changes to the list and to the table.
+// memoryStore is a log of changes to the list of servers and to the table.
 type memoryStore struct {
 	mu      sync.Mutex
 	servers []registry.Change
 	tables  []tableChange
-	// silent is set while a topic's polls are not answered. One that is
-	// under way when that begins is never answered, though its connection lives.
-	silent map[string]bool
-	spells map[string]int
-	// turnedAway names instances whose calls fail.
-	turnedAway map[string]bool
-	changed    chan struct{}
-	calls      int
-	// by is the calls of each instance.
-	by map[string]int
-	// page is how many servers a call for the whole list returns; 0 means all. pages counts
-	// those that were read beyond the first of a list.
-	page  int
-	pages int
-	// pageTakes is how long each of those takes.
-	pageTakes time.Duration
+	// silent holds the topics whose polls are not answered. A poll that is under way when the silence
+	// begins is never answered, though its connection stays open. silences counts the silences of a
+	// topic.
+	silent   map[string]bool
+	silences map[string]int
+	// refused names the instances whose calls fail.
+	refused map[string]bool
+	changed chan struct{}
+	calls   int
+	// callsBy counts the calls of each instance.
+	callsBy map[string]int
+	// pageSize is how many servers a call for the full list returns. 0 means all. extraPages counts
+	// the pages that were read beyond the first of a list.
+	pageSize   int
+	extraPages int
+	// pageLatency is the duration of a call for an extra page.
+	pageLatency time.Duration
 }
 
 func newMemoryStore() *memoryStore {
 	return &memoryStore{
-		by: make(map[string]int), silent: make(map[string]bool), spells: make(map[string]int), turnedAway: make(map[string]bool), changed: make(chan struct{}),
+		callsBy: make(map[string]int), silent: make(map[string]bool), silences: make(map[string]int), refused: make(map[string]bool), changed: make(chan struct{}),
 	}
 }
 
+// change applies a change and wakes the polls that wait for one.
 func (s *memoryStore) change(what func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,31 +101,31 @@
 	s.changed = make(chan struct{})
 }
 
-// called counts the calls so far.
+// called returns the number of calls so far.
 func (s *memoryStore) called() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// register writes a server's entry.
+// register appends an entry of a server to the log.
 func (s *memoryStore) register(id string, draining bool) {
 	s.change(func() {
 		s.servers = append(s.servers, registry.Change{ID: id, Entry: &registry.Entry{ID: id, Service: "a", Address: "127.0.0.1:1", Draining: draining}})
 	})
 }
 
-// remove removes a server's entry.
+// remove appends the removal of a server to the log.
 func (s *memoryStore) remove(id string) {
 	s.change(func() { s.servers = append(s.servers, registry.Change{ID: id}) })
 }
 
-// calledBy counts the calls of some instances so far.
+// calledBy returns the number of calls of some instances so far.
 func (s *memoryStore) calledBy(instances []*Instance) (calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, in := range instances {
-		calls += s.by[in.config.Name]
+		calls += s.callsBy[in.config.Name]
 	}
 	return calls
 }
@@ -133,33 +135,32 @@
 	s.change(func() { s.tables = append(s.tables, tableChange{configuration: len(s.tables) + 1}) })
 }
 
-// evacuate has a zone evacuated, or takes that back.
+// evacuate starts or ends the evacuation of a zone.
 func (s *memoryStore) evacuate(zone string, evacuated bool) {
 	s.change(func() { s.tables = append(s.tables, tableChange{zone: zone, evacuated: evacuated}) })
 }
 
-// silence loses what is under way about a topic, and all that is asked for a
-// while.
+// silence loses the polls of a topic that are under way, and all that are sent for a while.
 func (s *memoryStore) silence(topic string, lasts time.Duration) {
-	s.change(func() { s.silent[topic], s.spells[topic] = true, s.spells[topic]+1 })
+	s.change(func() { s.silent[topic], s.silences[topic] = true, s.silences[topic]+1 })
 	time.Sleep(lasts)
 	s.change(func() { s.silent[topic] = false })
 }
 
-// ask waits until a topic has more than some records; it fails as the store's
-// client does.
-func (s *memoryStore) ask(ctx context.Context, name, topic string, from int, wait time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, wait+storeGivenUpFor)
+// poll waits until a topic has more than the given number of records. It fails as the store's client
+// does.
+func (s *memoryStore) poll(ctx context.Context, name, topic string, from int, wait time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, wait+storeTimeout)
 	defer cancel()
-	time.Sleep(storeTakes)
+	time.Sleep(storeLatency)
 	until := time.Now().Add(wait)
 	s.mu.Lock()
 	s.calls++
-	s.by[name]++
-	spell, lost := s.spells[topic], s.silent[topic]
-	turned := s.turnedAway[name]
+	s.callsBy[name]++
+	silence, lost := s.silences[topic], s.silent[topic]
+	refused := s.refused[name]
 	s.mu.Unlock()
-	if turned {
+	if refused {
 		return oplog.ErrUnavailable
 	}
 	for {
@@ -169,7 +170,7 @@
 			length = len(s.tables)
 		}
 		changed := s.changed
-		lost = lost || s.spells[topic] != spell
+		lost = lost || s.silences[topic] != silence
 		s.mu.Unlock()
 		if !lost && (length > from || !time.Now().Before(until)) {
 			return nil
@@ -187,20 +188,20 @@
 	}
 }
 
-// listOf and tablesOf are the store as one instance calls it.
+// serverLog and tableLog are the two topics of the store as one instance calls them.
 type (
-	listOf struct {
+	serverLog struct {
 		*memoryStore
 		name string
 	}
-	tablesOf struct {
+	tableLog struct {
 		*memoryStore
 		name string
 	}
 )
 
-func (l listOf) Newest(ctx context.Context, readsOn func(context.Context) error) (registry.Snapshot, error) {
-	if err := l.ask(ctx, l.name, topicServers, -1, 0); err != nil {
+func (l serverLog) Newest(ctx context.Context, readsOn func(context.Context) error) (registry.Snapshot, error) {
+	if err := l.poll(ctx, l.name, topicServers, -1, 0); err != nil {
 		return registry.Snapshot{}, err
 	}
 	l.mu.Lock()
@@ -216,25 +217,25 @@
 	for _, entry := range newest {
 		snapshot.Entries = append(snapshot.Entries, entry)
 	}
-	if l.page == 0 || len(newest) <= l.page {
+	if l.pageSize == 0 || len(newest) <= l.pageSize {
 		return snapshot, nil
 	}
 	l.mu.Unlock()
 	err := readsOn(ctx)
-	more := (len(newest) - 1) / l.page
-	if err == nil && !wait.For(ctx, time.Duration(more)*l.pageTakes) {
+	more := (len(newest) - 1) / l.pageSize
+	if err == nil && !wait.For(ctx, time.Duration(more)*l.pageLatency) {
 		err = ctx.Err()
 	}
 	l.mu.Lock()
 	if err == nil {
 		l.calls += more
-		l.pages += more
+		l.extraPages += more
 	}
 	return snapshot, err
 }
 
-func (l listOf) Since(ctx context.Context, position oplog.Position, wait time.Duration) ([]registry.Change, oplog.Position, error) {
-	if err := l.ask(ctx, l.name, topicServers, int(position), wait); err != nil {
+func (l serverLog) Since(ctx context.Context, position oplog.Position, wait time.Duration) ([]registry.Change, oplog.Position, error) {
+	if err := l.poll(ctx, l.name, topicServers, int(position), wait); err != nil {
 		return nil, position, err
 	}
 	l.mu.Lock()
@@ -242,14 +243,14 @@
 	return append([]registry.Change(nil), l.servers[position:]...), oplog.Position(len(l.servers)), nil
 }
 
-func (s tablesOf) Newest(ctx context.Context) (OperatorChanges, oplog.Position, error) {
+func (s tableLog) Newest(ctx context.Context) (OperatorChanges, oplog.Position, error) {
 	all, next, err := s.Since(ctx, 0, 0)
 	all.Whole = true
 	return all, next, err
 }
 
-func (s tablesOf) Since(ctx context.Context, position oplog.Position, wait time.Duration) (OperatorChanges, oplog.Position, error) {
-	if err := s.ask(ctx, s.name, topicTable, int(position), wait); err != nil {
+func (s tableLog) Since(ctx context.Context, position oplog.Position, wait time.Duration) (OperatorChanges, oplog.Position, error) {
+	if err := s.poll(ctx, s.name, topicTable, int(position), wait); err != nil {
 		return OperatorChanges{}, position, err
 	}
 	s.mu.Lock()
@@ -265,17 +266,17 @@
 	return changes, max(position, oplog.Position(len(s.tables))), nil
 }
 
-func (s tablesOf) Decode(raw []byte) (*Revision, error) {
+func (s tableLog) Decode(raw []byte) (*Revision, error) {
 	number, err := strconv.ParseUint(string(raw), 10, 64)
 	return &Revision{Number: number, Raw: raw, View: &table.View{}}, err
 }
 
-// rosterOf lists all instances.
-type rosterOf struct{ *fleet }
+// fullRoster lists all instances.
+type fullRoster struct{ *fleet }
 
-func (r rosterOf) Announce(context.Context, string, string) error { return nil }
-func (r rosterOf) Withdraw(context.Context, string) error         { return nil }
-func (r rosterOf) Addresses(context.Context) (map[string]string, error) {
+func (r fullRoster) Announce(context.Context, string, string) error { return nil }
+func (r fullRoster) Withdraw(context.Context, string) error         { return nil }
+func (r fullRoster) Addresses(context.Context) (map[string]string, error) {
 	all := make(map[string]string)
 	for _, in := range r.all() {
 		all[in.config.Name] = in.config.SiblingAddress
@@ -283,7 +284,7 @@
 	return all, nil
 }
 
-// memorySocket is an instance's end of the network.
+// memorySocket is the socket of one instance.
 type memorySocket struct {
 	*fleet
 	address string
@@ -295,7 +296,7 @@
 	inbox := s.inbox[address]
 	s.sent++
 	s.bytes += len(datagram)
-	cut := s.cut[address] || s.cut[s.address] || (s.zones[address] == s.apart) != (s.zones[s.address] == s.apart)
+	cut := s.cut[address] || s.cut[s.address] || (s.zones[address] == s.isolatedZone) != (s.zones[s.address] == s.isolatedZone)
 	s.mu.Unlock()
 	if cut {
 		return nil
@@ -314,7 +315,7 @@
 		case <-ctx.Done():
 			return nil
 		case datagram := <-s.in:
-			time.Sleep(networkTakes)
+			time.Sleep(networkLatency)
 			var message heartbeat.Message
 			if err := cbor.Unmarshal(datagram, &message); err != nil {
 				bad(err)
@@ -325,7 +326,7 @@
 	}
 }
 
-// isCut says whether nothing reaches an address.
+// isCut reports whether an address is cut off.
 func (f *fleet) isCut(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -334,18 +335,17 @@
 
 // Snapshot implements Siblings.
 func (f *fleet) Snapshot(_ context.Context, address string, have Have) (Snapshot, error) {
-	time.Sleep(networkTakes)
+	time.Sleep(networkLatency)
 	for _, in := range f.all() {
 		if in.config.SiblingAddress == address && !f.isCut(address) {
 			return in.SnapshotFor(have), nil
 		}
 	}
-	return Snapshot{}, errors.New("nobody is there")
+	return Snapshot{}, errors.New("no instance at this address")
 }
 
-// play starts instances that know a table and ten servers, and runs a test on
-// them.
-func play(t *testing.T, instances int, test func(f *fleet)) {
+// runFleet starts instances that know a table and ten servers, and runs a test on them.
+func runFleet(t *testing.T, instances int, test func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, instances, DefaultConfig())
@@ -356,7 +356,7 @@
 	})
 }
 
-// newFleet makes instances that are to know a table and ten servers.
+// newFleet returns instances whose store has a table and ten servers. It does not start them.
 func newFleet(t *testing.T, instances int, config Config) *fleet {
 	f := &fleet{t: t, config: config, store: newMemoryStore(), inbox: make(map[string]chan []byte), cut: make(map[string]bool), zones: make(map[string]string)}
 	f.store.configure()
@@ -369,7 +369,7 @@
 	return f
 }
 
-// start has the instances run; the returned function ends them.
+// start runs all instances. The returned function stops them and waits for their end.
 func (f *fleet) start() (end func()) {
 	stop := f.startThese(f.instances)
 	return func() {
@@ -378,7 +378,7 @@
 	}
 }
 
-// startThese has some of the instances run; the returned function has them end.
+// startThese runs some of the instances. The returned function stops them.
 func (f *fleet) startThese(instances []*Instance) (stop func()) {
 	ctx, stop := context.WithCancel(context.Background())
 	for _, in := range instances {
@@ -387,17 +387,18 @@
 	return stop
 }
 
-// await waits on the real clock until something holds, however long a slow machine
-// takes; a minute is for ever.
+// await waits on the real clock until a condition holds. It allows for slow machines and fails after
+// a minute.
 func (f *fleet) await(what string, holds func() bool) {
 	f.t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > time.Minute {
-			f.t.Fatalf("never came: %s", what)
+			f.t.Fatalf("not reached within a minute: %s", what)
 		}
 	}
 }
 
+// add adds an instance with the given number.
 func (f *fleet) add(number int) {
 	config := f.config
 	config.Name = fmt.Sprintf("i%03d", number)
@@ -408,7 +409,7 @@
 	if number%20 == 7 {
 		config.Capacity = 800
 	}
-	// Seeds are out of date in part: nobody is at the first.
+	// Some seeds are out of date: there is no instance at the first address.
 	config.Seeds = []string{"10.0.0.1:9999", "10.0.0.1:1", "10.0.0.1:5"}
 	inbox := make(chan []byte, 10_000)
 	f.mu.Lock()
@@ -418,11 +419,11 @@
 	random := rand.New(rand.NewPCG(uint64(number), 7))
 	var mu sync.Mutex
 	in := New(config, Deps{
-		Tables:   tablesOf{f.store, config.Name},
-		Servers:  listOf{f.store, config.Name},
-		Roster:   rosterOf{f},
+		Tables:   tableLog{f.store, config.Name},
+		Servers:  serverLog{f.store, config.Name},
+		Roster:   fullRoster{f},
 		Claims:   new(claims),
-		Engines:  workersOf(0, 0),
+		Engines:  enginesOf(0, 0),
 		Siblings: f,
 		Socket:   memorySocket{f, config.SiblingAddress, inbox},
 		Random: func() float64 {
@@ -436,15 +437,14 @@
 	f.instances = append(f.instances, in)
 }
 
-// all returns the instances, also while some are replaced.
+// all returns the instances. It is safe while others are replaced.
 func (f *fleet) all() []*Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.instances)
 }
 
-// replace has an instance that was stopped take its place anew, at the same address and
-// knowing nothing.
+// replace replaces a stopped instance by a new one at the same address, which knows nothing.
 func (f *fleet) replace(which int) {
 	f.add(which)
 	f.mu.Lock()
@@ -454,12 +454,12 @@
 	f.instances = f.instances[:last]
 }
 
-// newcomerWithin is how soon an instance that starts must know what the others do.
-const newcomerWithin = 2 * time.Second
+// newInstanceKnowsWithin is the time within which a new instance must know what the others know.
+const newInstanceKnowsWithin = 2 * time.Second
 
-// newcomerKnows has the last instance start long after the others have learnt something, and
-// returns how long it takes to know that; ten seconds if it never does.
-func (f *fleet) newcomerKnows(learn func(others []*Instance), knows func(in *Instance) bool) time.Duration {
+// newInstanceKnows starts the last instance long after the others have learnt something, and returns
+// how long it takes to know that as well. It gives up after ten seconds.
+func (f *fleet) newInstanceKnows(learn func(others []*Instance), knows func(in *Instance) bool) time.Duration {
 	last := len(f.instances) - 1
 	others := f.instances[:last]
 	defer f.running.Wait()
@@ -475,8 +475,7 @@
 	return time.Since(began)
 }
 
-// slowest is the longest that any instance takes until something holds there; it
-// gives up after a minute.
+// slowest returns the time until a condition holds at all instances. It gives up after a minute.
 func (f *fleet) slowest(holds func(in *Instance) bool) time.Duration {
 	began := time.Now()
 	for _, in := range f.instances {
--- a/edge/fuzz_test.go
+++ b/edge/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/mastwheel/mastwheel/member"
 )
 
-// FuzzDatagram: no datagram ends the instance, or makes it take a belief for
+// FuzzDatagram checks that no datagram crashes an instance, or makes it treat its list or table as
 // newer than it is.
 func FuzzDatagram(f *testing.F) {
 	for _, age := range []time.Duration{0, time.Second, -time.Hour} {
@@ -30,13 +30,13 @@
 		if cbor.Unmarshal(datagram, &message) != nil {
 			return
 		}
-		in := candidate("a", &claims{}, workersOf(1, 1))
+		in := bareInstance("a", &claims{}, enginesOf(1, 1))
 		in.heard(message)
 		in.sumLoads()
 		now := time.Now()
 		for _, feed := range in.feeds() {
 			if feed.latest().After(now) || feed.confirmed().After(now) {
-				t.Fatalf("%s was heard at %v, after %v", feed.name, feed.latest(), now)
+				t.Fatalf("the last answer about %s is dated %v, after %v", feed.name, feed.latest(), now)
 			}
 		}
 	})
--- a/edge/hubcuts_test.go
+++ b/edge/hubcuts_test.go
@@ -9,18 +9,18 @@
 	"github.com/mastwheel/mastwheel/racedetector"
 )
 
-// cutDraws is how many sets of instances are cut off; 240 others were played by hand.
+// cutDraws is how many randomly drawn sets of instances are cut off. 240 other sets were run by hand.
 const cutDraws = 6
 
-// Whichever hubs, and a few others, are cut off at once, and for however long, all know
-// each other again soon after.
-func TestAllKnowEachOtherAfterAnyHubsWereCutOff(t *testing.T) {
+// Hubs and a few other instances are cut off at once, for varying times. Whichever they are, all
+// instances know each other again soon after the cut.
+func TestAllInstancesKnowEachOtherAfterHubsWereCutOff(t *testing.T) {
 	if racedetector.On {
-		t.Skip("too many instances for the race detector; CI plays them without it")
+		t.Skip("too many instances for the race detector; CI runs them without it")
 	}
 	for seed := range uint64(cutDraws) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			play(t, manySizes[0], func(f *fleet) {
+			runFleet(t, manyInstanceSizes[0], func(f *fleet) {
 				random := rand.New(rand.NewPCG(seed, 3))
 				f.mu.Lock()
 				for _, in := range f.instances {
@@ -33,8 +33,8 @@
 				f.mu.Lock()
 				f.cut = map[string]bool{}
 				f.mu.Unlock()
-				if took := f.slowest(func(in *Instance) bool { return aliveAt(in) == len(f.instances)-1 }); took > 5*time.Second {
-					t.Errorf("all know each other again after %v", took)
+				if took := f.slowest(func(in *Instance) bool { return aliveSiblings(in) == len(f.instances)-1 }); took > 5*time.Second {
+					t.Errorf("all instances know each other again after %v", took)
 				}
 			})
 		})
--- a/edge/hubs_test.go
+++ b/edge/hubs_test.go
@@ -13,27 +13,29 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// manySizes are the users' deployments with many instances.
-var manySizes = []int{58, 120}
+// manyInstanceSizes are the sizes of the users' deployments with many instances.
+var manyInstanceSizes = []int{58, 120}
 
+// manyInstances runs a test on each of the manyInstanceSizes.
 func manyInstances(t *testing.T, test func(t *testing.T, f *fleet)) {
 	t.Helper()
-	for _, size := range manySizes {
-		if racedetector.On || (testing.Short() && size > manySizes[0]) {
+	for _, size := range manyInstanceSizes {
+		if racedetector.On || (testing.Short() && size > manyInstanceSizes[0]) {
 			continue
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			play(t, size, func(f *fleet) { test(t, f) })
+			runFleet(t, size, func(f *fleet) { test(t, f) })
 		})
 	}
 }
 
-// hubsOf are the instances that are hubs by what they think themselves.
-func (f *fleet) hubsOf() []*Instance {
+// activeHubs returns the instances that act as hubs.
+func (f *fleet) activeHubs() []*Instance {
 	return slices.DeleteFunc(slices.Clone(f.instances), func(in *Instance) bool { return !in.hubs.isHub() })
 }
 
-func aliveAt(in *Instance) int {
+// aliveSiblings returns the number of siblings that an instance knows to be alive.
+func aliveSiblings(in *Instance) int {
 	alive := 0
 	for _, sibling := range in.members.View().Siblings {
 		if sibling.State == member.Alive {
@@ -46,64 +48,65 @@
 func TestManyInstancesAllKnowEachOther(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		for _, in := range f.instances {
-			if alive := aliveAt(in); alive != len(f.instances)-1 || in.Instances() != len(f.instances) {
-				t.Errorf("%s knows %d of %d", in.config.Name, alive, len(f.instances)-1)
+			if alive := aliveSiblings(in); alive != len(f.instances)-1 || in.Instances() != len(f.instances) {
+				t.Errorf("%s knows %d of %d siblings", in.config.Name, alive, len(f.instances)-1)
 			}
 		}
-		// Three zones, two hubs each, the strongest.
-		if hubs := f.hubsOf(); len(hubs) != 6 || slices.ContainsFunc(hubs, func(in *Instance) bool { return in.config.Capacity < 800 && len(f.instances) > 100 }) {
-			t.Errorf("%d hubs", len(hubs))
+		// There are three zones with two hubs each, and hubs are the instances of the highest capacity.
+		if hubs := f.activeHubs(); len(hubs) != 6 || slices.ContainsFunc(hubs, func(in *Instance) bool { return in.config.Capacity < 800 && len(f.instances) > 100 }) {
+			t.Errorf("%d hubs, expected six of the highest capacity", len(hubs))
 		}
 	})
 }
 
-// Where each told all others, 295 instances sent 240 datagrams a second each.
-func TestManyInstancesTellLittle(t *testing.T) {
+// Without hubs, each instance sends to all others: 295 instances sent 240 datagrams per second each.
+func TestManyInstancesSendLittle(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		f.mu.Lock()
 		sent, bytes := f.sent, f.bytes
 		f.mu.Unlock()
-		const spell = 10 * time.Second
-		time.Sleep(spell)
+		const window = 10 * time.Second
+		time.Sleep(window)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		each := float64(len(f.instances)) * spell.Seconds()
+		each := float64(len(f.instances)) * window.Seconds()
 		perSecond, perByte := float64(f.sent-sent)/each, float64(f.bytes-bytes)/each
-		t.Logf("%.1f datagrams and %.0f bytes a second and instance", perSecond, perByte)
+		t.Logf("%.1f datagrams and %.0f bytes per second and instance", perSecond, perByte)
 		if perSecond > 30 || perByte > 10_000 {
-			t.Errorf("%.1f datagrams and %.0f bytes a second and instance", perSecond, perByte)
+			t.Errorf("%.1f datagrams and %.0f bytes per second and instance", perSecond, perByte)
 		}
 	})
 }
 
-// othersAt is what an instance believes that the others hold at a server.
-func othersAt(server string) func(in *Instance) int {
+// othersMemoryAt returns a function for the memory that an instance knows its siblings to have
+// committed at a server.
+func othersMemoryAt(server string) func(in *Instance) int {
 	return func(in *Instance) int { return in.Fleet.Server(server).Others().Memory }
 }
 
-func TestManyInstancesKnowWhatAllHold(t *testing.T) {
+func TestManyInstancesKnowAllCommitments(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		total := 0
 		for i, in := range f.instances {
 			in.Fleet.Server("s3").Hold(1000 + i)
 			total += 1000 + i
 		}
-		others := othersAt("s3")
+		others := othersMemoryAt("s3")
 		took := f.slowest(func(in *Instance) bool { return others(in) == total-in.Fleet.Server("s3").Own().Memory })
 		if took > 700*time.Millisecond {
-			t.Errorf("known everywhere after %v", took)
+			t.Errorf("all instances know the commitments after %v", took)
 		}
 		for _, in := range f.instances {
 			in.Fleet.Server("s3").Hold(-in.Fleet.Server("s3").Own().Memory)
 		}
 		if took := f.slowest(func(in *Instance) bool { return in.Fleet.Server("s3").Others() == (route.Commitment{}) }); took > 700*time.Millisecond {
-			t.Errorf("given back everywhere after %v", took)
+			t.Errorf("all instances know the release after %v", took)
 		}
 	})
 }
 
-// A sum over thousands of servers is told in parts: what changed, and all in turn.
-func TestLargeSumsAreToldInParts(t *testing.T) {
+// A sum over thousands of servers is sent in parts: the changes first, and all servers in turn.
+func TestLargeSumsAreSentInParts(t *testing.T) {
 	sum := make(map[uint32]route.Commitment)
 	servers := &serverIndex{byID: make(map[uint32]*registry.Entry)}
 	for i := range uint32(3000) {
@@ -111,31 +114,31 @@
 		servers.byID[i] = &registry.Entry{}
 		sum[i] = route.Commitment{Memory: 10_000 + int(i)}
 	}
-	var told parts
+	var sent parts
 	var received map[uint32]route.Commitment
-	tell := func(lost bool) int {
-		part := pickOf(&told, sum, servers)
+	send := func(lost bool) int {
+		part := selectLoads(&sent, sum, servers)
 		if !lost {
 			received = merged(received, part, nil)
 		}
 		return len(part)
 	}
 	for beat := range 20 {
-		if n := tell(beat == 3); n > 320+48 {
-			t.Fatalf("%d at a time", n)
+		if n := send(beat == 3); n > 320+48 {
+			t.Fatalf("%d loads in one part", n)
 		}
 	}
 	sum[7], sum[2999] = route.Commitment{}, route.Commitment{Memory: 99_000}
-	tell(false)
+	send(false)
 	if _, holds := received[7]; holds || received[2999] != sum[2999] {
-		t.Error("a change waits for its turn")
+		t.Error("a change was not sent at once")
 	}
 	for range len(servers.ids)/48 + 1 {
-		tell(false)
+		send(false)
 	}
 	delete(sum, 7)
 	if len(received) != len(sum) {
-		t.Fatalf("%d of %d known", len(received), len(sum))
+		t.Fatalf("%d of %d loads are known", len(received), len(sum))
 	}
 	for server, want := range sum {
 		if received[server] != want {
@@ -144,12 +147,12 @@
 	}
 }
 
-func pickOf(p *parts, sum map[uint32]route.Commitment, servers *serverIndex) []heartbeat.Load {
+func selectLoads(p *parts, sum map[uint32]route.Commitment, servers *serverIndex) []heartbeat.Load {
 	part, _ := p.pick(sum, servers, 320, 48)
 	return part
 }
 
-func TestAHubWithMuchToTellTellsItLessOften(t *testing.T) {
+func TestAHubWithLargeDigestsSendsThemLessOften(t *testing.T) {
 	config := DefaultConfig()
 	for bytes, want := range map[int]time.Duration{
 		0: 0, config.HubBytes / 10: 100 * time.Millisecond, 10 * config.HubBytes: 400 * time.Millisecond,
@@ -160,13 +163,13 @@
 	}
 }
 
-// Nothing an instance is told depends on one hub: while the best of each zone is
+// No instance depends on a single hub for what it receives. While the best hubs of each zone are
 // silent, the next ones serve.
 func TestSilentHubsAreReplaced(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		silent := make(map[string]bool)
 		for _, in := range f.instances {
-			if in.reads.Load() {
+			if in.longPolls.Load() {
 				silent[in.config.SiblingAddress] = true
 			}
 		}
@@ -175,52 +178,52 @@
 		f.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		for _, in := range f.instances {
-			if want := len(f.instances) - 1 - len(silent); !silent[in.config.SiblingAddress] && aliveAt(in) != want {
-				t.Errorf("%s takes %d for alive, %d are", in.config.Name, aliveAt(in), want)
+			if want := len(f.instances) - 1 - len(silent); !silent[in.config.SiblingAddress] && aliveSiblings(in) != want {
+				t.Errorf("%s knows %d live siblings, there are %d", in.config.Name, aliveSiblings(in), want)
 			}
 		}
 		f.instances[0].Fleet.Server("s3").Hold(5000)
-		others := othersAt("s3")
-		living := func(holds func(in *Instance) bool) func(in *Instance) bool {
+		others := othersMemoryAt("s3")
+		unlessSilent := func(holds func(in *Instance) bool) func(in *Instance) bool {
 			return func(in *Instance) bool { return silent[in.config.SiblingAddress] || holds(in) }
 		}
-		if took := f.slowest(living(func(in *Instance) bool { return in == f.instances[0] || others(in) == 5000 })); took > 700*time.Millisecond {
-			t.Errorf("loads known after %v", took)
+		if took := f.slowest(unlessSilent(func(in *Instance) bool { return in == f.instances[0] || others(in) == 5000 })); took > 700*time.Millisecond {
+			t.Errorf("all instances know the loads after %v", took)
 		}
 		f.store.register("s4", true)
-		if took := f.slowest(living(drains("s4"))); took > mustKnow {
-			t.Errorf("a leaving server known after %v", took)
+		if took := f.slowest(unlessSilent(knowsDraining("s4"))); took > mustKnow {
+			t.Errorf("all instances know a draining server after %v", took)
 		}
 		f.mu.Lock()
 		f.cut = map[string]bool{}
 		f.mu.Unlock()
-		if took := f.slowest(func(in *Instance) bool { return aliveAt(in) == len(f.instances)-1 }); took > 5*time.Second {
-			t.Errorf("all know each other again after %v", took)
+		if took := f.slowest(func(in *Instance) bool { return aliveSiblings(in) == len(f.instances)-1 }); took > 5*time.Second {
+			t.Errorf("all instances know each other again after %v", took)
 		}
 	})
 }
 
-func TestAnInstanceThatStopsIsNamedNoMore(t *testing.T) {
+func TestAStoppingInstanceIsNoLongerListed(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
-		stops := f.instances[3]
-		stops.stopping.Store(true)
-		stops.sendHeartbeats()
-		named := func(in *Instance) bool {
-			sibling, known := in.members.View().Find(stops.config.Name)
+		stopped := f.instances[3]
+		stopped.stopping.Store(true)
+		stopped.sendHeartbeats()
+		listed := func(in *Instance) bool {
+			sibling, known := in.members.View().Find(stopped.config.Name)
 			return known && sibling.State == member.Alive
 		}
-		if took := f.slowest(func(in *Instance) bool { return in == stops || !named(in) }); took > 200*time.Millisecond {
-			t.Errorf("named for %v", took)
+		if took := f.slowest(func(in *Instance) bool { return in == stopped || !listed(in) }); took > 200*time.Millisecond {
+			t.Errorf("listed for %v", took)
 		}
 	})
 }
 
-// Of many instances only the hubs leave polls at the store: a change cost a call
-// of each, 295 for each server that comes or goes.
-func TestCallsToTheStoreDoNotGrowWithTheInstances(t *testing.T) {
+// Of many instances only the hubs keep long polls at the store. When all instances did, each change
+// cost one call per instance: 295 calls for each server that was added or removed.
+func TestStoreCallsDoNotGrowWithTheInstances(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		if calls := f.store.called(); calls > 4*len(f.instances)+200 {
-			t.Errorf("%d calls to start", calls)
+			t.Errorf("%d calls during the start", calls)
 		}
 		before := f.store.called()
 		for i := range 20 {
@@ -229,7 +232,7 @@
 		}
 		f.store.configure()
 		if took := f.slowest(func(in *Instance) bool { return in.Revision() == 2 && in.Servers().ByRun["n19"] != nil }); took > mustKnow {
-			t.Errorf("known everywhere after %v", took)
+			t.Errorf("all instances know the changes after %v", took)
 		}
 		calls := f.store.called() - before
 		t.Logf("%d calls for 21 changes in 14 s", calls)
@@ -239,28 +242,28 @@
 	})
 }
 
-func TestALeavingServerIsKnownToManyAfterTheStoreWasSilentInPart(t *testing.T) {
-	manyInstances(t, updatesAfterSilence(topicServers, longSilence, leaves, drains("s3")))
+func TestManyInstancesKnowADrainingServerAfterAPartialStoreOutage(t *testing.T) {
+	manyInstances(t, updatesAfterSilence(topicServers, longSilence, drainServer, knowsDraining("s3")))
 }
 
-func TestATableIsInForceAtManyAfterPollsWereLost(t *testing.T) {
-	inForce := func(in *Instance) bool { return in.Revision() == 2 }
-	manyInstances(t, updatesAfterSilence(topicTable, shortSilence, func(f *fleet) { f.store.configure() }, inForce))
+func TestManyInstancesApplyATableAfterPollsWereLost(t *testing.T) {
+	applied := func(in *Instance) bool { return in.Revision() == 2 }
+	manyInstances(t, updatesAfterSilence(topicTable, shortSilence, func(f *fleet) { f.store.configure() }, applied))
 }
 
-// Only one instance in twenty is served by the store.
-func TestUpdatesComeFromTheFewThatTheStoreServes(t *testing.T) {
+// The store serves only one instance in twenty.
+func TestUpdatesSpreadFromTheFewInstancesThatTheStoreServes(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		f.store.change(func() {
 			for i, in := range f.instances {
-				f.store.turnedAway[in.config.Name] = i%20 != 0
+				f.store.refused[in.config.Name] = i%20 != 0
 			}
 		})
 		time.Sleep(5 * time.Second)
 		before := f.store.called()
 		f.store.register("s3", true)
-		if took := f.slowest(drains("s3")); took > 3*time.Second {
-			t.Errorf("known everywhere after %v", took)
+		if took := f.slowest(knowsDraining("s3")); took > 3*time.Second {
+			t.Errorf("all instances know the changes after %v", took)
 		}
 		time.Sleep(10 * time.Second)
 		if calls := f.store.called() - before; calls > 1000 {
@@ -269,36 +272,36 @@
 	})
 }
 
-// On the real clock the race detector bears hubs too.
-func TestHubsAreFreeOfRaces(t *testing.T) {
+// On the real clock, and with few instances, the race detector can run hubs too.
+func TestHubsHaveNoDataRaces(t *testing.T) {
 	few := DefaultConfig()
 	few.MeshAtMost = 4
 	f := newFleet(t, 10, few)
 	defer f.start()()
 	knowAll := func() bool {
 		for _, in := range f.instances {
-			if aliveAt(in) != len(f.instances)-1 || !in.usesHubs() {
+			if aliveSiblings(in) != len(f.instances)-1 || !in.usesHubs() {
 				return false
 			}
 		}
 		return true
 	}
-	f.await("all know each other", knowAll)
+	f.await("all instances know each other", knowAll)
 	for i, in := range f.instances {
 		in.Fleet.Server("s3").Hold(1000 + i)
 	}
 	f.store.register("s4", true)
 	f.store.configure()
-	f.await("all know the updates", func() bool {
+	f.await("all instances know the updates", func() bool {
 		for _, in := range f.instances {
-			if in.Revision() != 2 || !drains("s4")(in) || othersAt("s3")(in) == 0 {
+			if in.Revision() != 2 || !knowsDraining("s4")(in) || othersMemoryAt("s3")(in) == 0 {
 				return false
 			}
 		}
 		return true
 	})
-	stops := f.instances[2]
-	stops.stopping.Store(true)
-	stops.sendHeartbeats()
-	f.await("one that stops is not named", func() bool { return aliveAt(f.instances[0]) == len(f.instances)-2 })
+	stopped := f.instances[2]
+	stopped.stopping.Store(true)
+	stopped.sendHeartbeats()
+	f.await("a stopping instance is not listed", func() bool { return aliveSiblings(f.instances[0]) == len(f.instances)-2 })
 }
--- a/edge/ledger_test.go
+++ b/edge/ledger_test.go
@@ -12,25 +12,25 @@
 	"github.com/mastwheel/mastwheel/operation"
 )
 
-// Whatever happens to siblings and to datagrams, who has taken in the account up to its
-// end knows each sibling as the hub does.
-func TestAnAccountTakenInToItsEndIsWhole(t *testing.T) {
+// An instance that has applied the change log of a hub to its end knows each sibling as the hub does,
+// whatever happened to siblings and datagrams meanwhile.
+func TestAChangeLogAppliedToItsEndIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_800_000_000, 0)
 		hub := member.New(operation.Member{Name: "hub", Incarnation: 1}, DefaultConfig().Members)
 		other := member.New(operation.Member{Name: "other", Incarnation: 1}, DefaultConfig().Members)
-		account, most := newLedger(), rapid.IntRange(1, 5).Draw(t, "at once")
+		log, most := newLedger(), rapid.IntRange(1, 5).Draw(t, "at once")
 		everyone := func(member.Sibling) bool { return true }
 		var seen uint64
-		tell := func(lost bool) (more bool) {
+		send := func(lost bool) (more bool) {
 			view := hub.View()
-			account.update(view.Siblings, true)
-			told, upto := account.since(seen, view, everyone, most, now)
+			log.update(view.Siblings, true)
+			observations, upto := log.since(seen, view, everyone, most, now)
 			if !lost {
-				take(other, told, now)
+				applyObservations(other, observations, now)
 				seen = upto
 			}
-			return len(told) > 0
+			return len(observations) > 0
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(10, 700).Draw(t, "pause")) * time.Millisecond)
@@ -40,25 +40,26 @@
 				Incarnation: operation.Incarnation(rapid.IntRange(1, 3).Draw(t, "run")), Draining: rapid.Bool().Draw(t, "draining"),
 			}, now)
 			hub.Tick(now)
-			tell(rapid.Bool().Draw(t, "lost"))
+			send(rapid.Bool().Draw(t, "lost"))
 		}
-		// What was vouched for counts until it is as old as a heartbeat may be.
+		// An observation counts until it is older than SuspectAfter, as a heartbeat does.
 		now = now.Add(DefaultConfig().Members.SuspectAfter + time.Millisecond)
 		hub.Tick(now)
-		for tell(false) {
+		for send(false) {
 		}
 		other.Tick(now)
 		for _, sibling := range hub.View().Siblings {
 			got, known := other.View().Find(sibling.Name)
 			if !known || got.Incarnation != sibling.Incarnation || got.State != sibling.State {
-				t.Fatalf("%s is %s in run %d, told as %s in run %d", sibling.Name, sibling.State, sibling.Incarnation, got.State, got.Incarnation)
+				t.Fatalf("%s is %s in run %d, but known as %s in run %d", sibling.Name, sibling.State, sibling.Incarnation, got.State, got.Incarnation)
 			}
 		}
 	})
 }
 
-func take(members *member.Members, told []heartbeat.Observation, now time.Time) {
-	for _, one := range told {
+// applyObservations applies the observations of a hub.
+func applyObservations(members *member.Members, observations []heartbeat.Observation, now time.Time) {
+	for _, one := range observations {
 		members.Report(one.Info, one.State, now.Add(-one.Age), now)
 	}
 }
--- a/edge/mesh_test.go
+++ b/edge/mesh_test.go
@@ -8,29 +8,29 @@
 	"github.com/mastwheel/mastwheel/racedetector"
 )
 
-// meshSizes are numbers of instances that all hear each other.
+// meshSizes are numbers of instances that form a mesh, where each sends to all others.
 var meshSizes = []int{1, 2, 8, 22, 36}
 
-// inMeshes runs a test on a few instances.
-func inMeshes(t *testing.T, test func(t *testing.T, f *fleet)) {
+// forMeshSizes runs a test on each of the meshSizes.
+func forMeshSizes(t *testing.T, test func(t *testing.T, f *fleet)) {
 	for _, instances := range meshSizes {
 		if racedetector.On && instances*goroutinesOfInstance > racedetector.MostGoroutines {
 			continue
 		}
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
-			play(t, instances, func(f *fleet) { test(t, f) })
+			runFleet(t, instances, func(f *fleet) { test(t, f) })
 		})
 	}
 }
 
-// Updates cost as many calls with 36 instances as with 8, and are known as soon.
+// Updates cost as few calls with 36 instances as with 8, and spread as fast.
 func TestFewInstancesOfAMeshReadTheStore(t *testing.T) {
-	inMeshes(t, func(t *testing.T, f *fleet) {
+	forMeshSizes(t, func(t *testing.T, f *fleet) {
 		before := f.store.called()
 		for i := range 20 {
 			f.store.register(fmt.Sprintf("n%d", i), false)
-			if took := f.slowest(knows(fmt.Sprintf("n%d", i))); took > mustKnow {
-				t.Errorf("a server is known everywhere after %v", took)
+			if took := f.slowest(knowsServer(fmt.Sprintf("n%d", i))); took > mustKnow {
+				t.Errorf("all instances know a server after %v", took)
 			}
 			time.Sleep(700 * time.Millisecond)
 		}
@@ -41,34 +41,35 @@
 		}
 		f.store.configure()
 		if took := f.slowest(func(in *Instance) bool { return in.Revision() == 2 }); took > mustKnow {
-			t.Errorf("a table is in force everywhere after %v", took)
+			t.Errorf("all instances have applied a table after %v", took)
 		}
 	})
 }
 
-// Whichever instances the store turns away, the readers among them, updates are known to all.
-func TestUpdatesAreKnownThoughTheReadersOfAMeshAreTurnedAway(t *testing.T) {
-	inMeshes(t, func(t *testing.T, f *fleet) {
+// The store refuses the instances that read it for the others. Updates reach all instances all the
+// same.
+func TestUpdatesSpreadThoughTheStoreRefusesTheReadersOfAMesh(t *testing.T) {
+	forMeshSizes(t, func(t *testing.T, f *fleet) {
 		if len(f.instances) < 8 {
 			return
 		}
 		f.store.change(func() {
 			for _, in := range f.instances {
-				f.store.turnedAway[in.config.Name] = in.reads.Load()
+				f.store.refused[in.config.Name] = in.longPolls.Load()
 			}
 		})
 		time.Sleep(time.Second)
 		for i := range 5 {
 			id := fmt.Sprintf("n%d", i)
 			f.store.register(id, false)
-			if took := f.slowest(knows(id)); took > mustKnow {
-				t.Errorf("known everywhere after %v", took)
+			if took := f.slowest(knowsServer(id)); took > mustKnow {
+				t.Errorf("all instances know a server after %v", took)
 			}
 		}
 	})
 }
 
-// knows says whether an instance knows a server.
-func knows(id string) func(in *Instance) bool {
+// knowsServer returns a check that an instance knows a server.
+func knowsServer(id string) func(in *Instance) bool {
 	return func(in *Instance) bool { return in.Servers().ByRun[id] != nil }
 }
--- a/edge/poison_test.go
+++ b/edge/poison_test.go
@@ -10,129 +10,129 @@
 	"github.com/mastwheel/mastwheel/racedetector"
 )
 
-// endUnder has a server end under a request, as one instance sees it.
-func endUnder(in *Instance, server string, request poison.Fingerprints) {
+// crashUnder has an instance observe that a server crashed while it processed a request.
+func crashUnder(in *Instance, server string, request poison.Fingerprints) {
 	in.Poison.Broke(server, request, time.Now().Add(-10*time.Millisecond), time.Now())
 	in.Poison.Crashed(server, time.Now())
 }
 
-// knowsBlocked says whether an instance knows that a request is blocked.
+// knowsBlocked returns a check that an instance knows a request as blocked.
 func knowsBlocked(request poison.Fingerprints) func(in *Instance) bool {
 	return func(in *Instance) bool { return in.Poison.State(request) == poison.Blocked }
 }
 
-// requestOf returns the fingerprints of a request.
-func requestOf(number int) poison.Fingerprints {
+// fingerprintsOf returns the fingerprints of a numbered request.
+func fingerprintsOf(number int) poison.Fingerprints {
 	return poison.Identity{Target: fmt.Sprint(number)}.Fingerprints()
 }
 
-// endThree has three servers end under a request, one after the other, as different
-// instances see it.
-func endThree(instances []*Instance, request int) {
+// crashThree has three servers crash one after the other while they process a request. Each crash is
+// observed by a different instance.
+func crashThree(instances []*Instance, request int) {
 	for i := range 3 {
-		endUnder(instances[(i*17)%len(instances)], fmt.Sprint("x", request, i), requestOf(request))
+		crashUnder(instances[(i*17)%len(instances)], fmt.Sprint("x", request, i), fingerprintsOf(request))
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// knownWithin is how soon all must know what one has seen: well within the users' three
-// seconds.
+// knownWithin is the time within which all instances must know what one has observed. It is well
+// within the users' three seconds.
 const knownWithin = 700 * time.Millisecond
 
-func TestWhatARequestDidToServersIsKnownToAll(t *testing.T) {
+func TestCrashesUnderARequestAreKnownToAll(t *testing.T) {
 	for _, size := range []int{3, 8} {
-		t.Run(fmt.Sprint(size), func(t *testing.T) { play(t, size, func(f *fleet) { testAllKnow(t, f) }) })
+		t.Run(fmt.Sprint(size), func(t *testing.T) { runFleet(t, size, func(f *fleet) { testAllKnow(t, f) }) })
 	}
 	manyInstances(t, testAllKnow)
 }
 
 func testAllKnow(t *testing.T, f *fleet) {
-	request := requestOf(7)
-	endThree(f.instances, 7)
+	request := fingerprintsOf(7)
+	crashThree(f.instances, 7)
 	if took := f.slowest(knowsBlocked(request)); took > knownWithin {
-		t.Errorf("known everywhere after %v", took)
+		t.Errorf("all instances know the blocked request after %v", took)
 	}
 	f.instances[len(f.instances)-1].Poison.Completed(request, time.Now())
 	if took := f.slowest(func(in *Instance) bool { return in.Poison.State(request) == poison.Clear }); took > knownWithin {
-		t.Errorf("cleared everywhere after %v", took)
+		t.Errorf("all instances know the cleared request after %v", took)
 	}
 }
 
-// An instance that starts anew has forgotten all.
-func TestAnInstanceThatStartsAnewIsTold(t *testing.T) {
+// A restarted instance has lost all that it knew.
+func TestARestartedInstanceReceivesCrashes(t *testing.T) {
 	for _, size := range []int{3, 8, 58} {
 		if racedetector.On && size > 8 {
 			continue
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { testNewcomerIsTold(t, newFleet(t, size+1, DefaultConfig())) })
+			synctest.Test(t, func(t *testing.T) { testRestartedReceives(t, newFleet(t, size+1, DefaultConfig())) })
 		})
 	}
 }
 
-func testNewcomerIsTold(t *testing.T, f *fleet) {
+func testRestartedReceives(t *testing.T, f *fleet) {
 	const requests = 20
 	learn := func(others []*Instance) {
 		for request := range requests {
-			endThree(others, request)
+			crashThree(others, request)
 		}
 	}
-	if took := f.newcomerKnows(learn, func(in *Instance) bool { return in.Poison.Count(poison.Blocked) == requests }); took > newcomerWithin {
-		t.Errorf("knows all after %v", took)
+	if took := f.newInstanceKnows(learn, func(in *Instance) bool { return in.Poison.Count(poison.Blocked) == requests }); took > newInstanceKnowsWithin {
+		t.Errorf("knows all blocked requests after %v", took)
 	}
 }
 
-// Links may be cut, and instances stand still, for longer than anything is told anew.
-func TestWhatWasMissedIsLearntLater(t *testing.T) {
+// Links may be cut, and instances suspended, for longer than crashes are sent again.
+func TestMissedCrashesAreReceivedLater(t *testing.T) {
 	for _, size := range []int{8, 58} {
 		if racedetector.On && size > 8 {
 			continue
 		}
-		t.Run(fmt.Sprint(size), func(t *testing.T) { play(t, size, func(f *fleet) { testMissedIsLearnt(t, f) }) })
+		t.Run(fmt.Sprint(size), func(t *testing.T) { runFleet(t, size, func(f *fleet) { testMissedIsReceived(t, f) }) })
 	}
 }
 
-func testMissedIsLearnt(t *testing.T, f *fleet) {
+func testMissedIsReceived(t *testing.T, f *fleet) {
 	const requests = 20
 	last := len(f.instances) - 1
 	f.mu.Lock()
 	f.cut[f.instances[last].config.SiblingAddress] = true
 	f.mu.Unlock()
 	for request := range requests {
-		endThree(f.instances[:last], request)
+		crashThree(f.instances[:last], request)
 	}
 	time.Sleep(15 * time.Second)
 	f.mu.Lock()
 	f.cut = map[string]bool{}
 	f.mu.Unlock()
 	if took := f.slowest(func(in *Instance) bool { return in.Poison.Count(poison.Blocked) == requests }); took > 2*time.Second {
-		t.Errorf("known everywhere %v after the cut", took)
+		t.Errorf("all instances know the blocked requests %v after the cut", took)
 	}
 }
 
-// What is told costs nothing while no server has ended, and little else.
-func TestWhatIsToldOfServersThatEndedIsLittle(t *testing.T) {
+// Reports of crashes cause no traffic while no server has crashed, and little otherwise.
+func TestCrashReportsCauseLittleTraffic(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		rate := func() float64 {
 			f.mu.Lock()
 			before := f.bytes
 			f.mu.Unlock()
-			const spell = 10 * time.Second
-			time.Sleep(spell)
+			const window = 10 * time.Second
+			time.Sleep(window)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return float64(f.bytes-before) / spell.Seconds() / float64(len(f.instances))
+			return float64(f.bytes-before) / window.Seconds() / float64(len(f.instances))
 		}
-		calm := rate()
+		baseline := rate()
 		for request := range 20 {
-			endThree(f.instances, request)
+			crashThree(f.instances, request)
 		}
 		learning := rate()
 		time.Sleep(12 * time.Second)
 		later := rate()
-		t.Logf("%.0f bytes a second and instance; %.0f in the 10 s after 60 servers ended, %.0f a little later", calm, learning, later)
-		if learning > calm+6000 || later > calm+1500 {
-			t.Errorf("%.0f bytes a second and instance, %.0f, %.0f", calm, learning, later)
+		t.Logf("%.0f bytes per second and instance before; %.0f in the 10 s after 60 servers crashed, %.0f a little later", baseline, learning, later)
+		if learning > baseline+6000 || later > baseline+1500 {
+			t.Errorf("%.0f bytes per second and instance before, %.0f after the crashes, %.0f later", baseline, learning, later)
 		}
 	})
 }
--- a/edge/teams_test.go
+++ b/edge/teams_test.go
@@ -11,24 +11,24 @@
 	"github.com/mastwheel/mastwheel/racedetector"
 )
 
-// Figures of the users' largest team, and of what they tolerate.
+// Figures of the users' largest team, and the excess that they tolerate.
 const (
-	teamRate       = 213_644 // tokens a second
-	teamCost       = 7_700   // tokens of a stream
-	teamWindow     = 8 * time.Second
-	teamOverage    = 0.1
-	teamToleration = 120_000
+	teamRate      = 213_644 // tokens a second
+	teamCost      = 7_700   // mean tokens of a stream
+	teamWindow    = 8 * time.Second
+	teamOverage   = 0.1
+	teamTolerance = 120_000
 )
 
-// teamLoad is what a team was admitted.
+// teamLoad generates the load of a team and records the admitted part.
 type teamLoad struct {
 	*fleet
-	random *rand.Rand
-	at     []time.Time
-	cost   []float64
-	asked  float64
-	given  float64
-	// down holds instances that no caller reaches.
+	random    *rand.Rand
+	at        []time.Time
+	cost      []float64
+	requested float64
+	admitted  float64
+	// down holds the instances that no caller reaches.
 	down map[*Instance]bool
 }
 
@@ -40,42 +40,44 @@
 	return l
 }
 
-// limit gives an instance the team's limit.
+// limit sets the team's limit at an instance.
 func (l *teamLoad) limit(in *Instance) {
-	in.Allotments.SetSlack(teamToleration * slackUsed)
+	in.Allotments.SetSlack(teamTolerance * slackUsed)
 	in.Allotments.SetLimits(map[string]allotment.Limit{"a": {Rate: teamRate, Burst: teamRate}}, time.Now())
 }
 
-// offer has the team ask for so many tokens a second.
+// offer requests the given number of tokens per second for a while.
 func (l *teamLoad) offer(lasts time.Duration, perSecond float64) {
 	const step = 10 * time.Millisecond
 	for until := time.Now().Add(lasts); time.Now().Before(until); time.Sleep(step) {
 		for expected := perSecond * step.Seconds() / teamCost; expected > 0; expected-- {
 			if l.random.Float64() < expected {
-				l.arrive(l.instances[l.random.IntN(len(l.instances))])
+				l.sendRequest(l.instances[l.random.IntN(len(l.instances))])
 			}
 		}
 	}
 }
 
-func (l *teamLoad) arrive(in *Instance) {
+// sendRequest sends one request of the team to an instance.
+func (l *teamLoad) sendRequest(in *Instance) {
 	if l.down[in] {
 		return
 	}
 	cost := teamCost * (0.3 + 1.4*l.random.Float64())
-	l.asked += cost
+	l.requested += cost
 	if !in.Allotments.Admit("a", cost, time.Now()).Admitted {
 		return
 	}
-	l.given += cost
+	l.admitted += cost
 	l.at, l.cost = append(l.at, time.Now()), append(l.cost, cost)
 	server := in.Fleet.Server("s3")
 	server.Hold(int(cost))
 	time.AfterFunc(time.Second, func() { server.Hold(-int(cost)) })
 }
 
-// most is the most that was given in any window, as a part of what is tolerated.
-func (l *teamLoad) most() float64 {
+// worstWindow returns the most tokens that were admitted in any window, relative to the tolerated
+// number.
+func (l *teamLoad) worstWindow() float64 {
 	worst, sum, first := 0.0, 0.0, 0
 	for i, at := range l.at {
 		sum += l.cost[i]
@@ -85,16 +87,16 @@
 		}
 		worst = max(worst, sum)
 	}
-	return worst / ((teamRate*teamWindow.Seconds()+teamRate)*(1+teamOverage) + teamToleration)
+	return worst / ((teamRate*teamWindow.Seconds()+teamRate)*(1+teamOverage) + teamTolerance)
 }
 
-// check judges what was given, and says how much that was.
+// check logs the worst window and fails if it exceeds what is tolerated.
 func (l *teamLoad) check(t *testing.T) {
 	t.Helper()
-	got := l.most()
-	t.Logf("at most %.2f of what is tolerated; %.0f tokens of %.0f asked for", got, l.given, l.asked)
+	got := l.worstWindow()
+	t.Logf("at most %.2f of what is tolerated; %.0f tokens of %.0f requested", got, l.admitted, l.requested)
 	if got > 1 {
-		t.Errorf("%.2f times what is tolerated", got)
+		t.Errorf("%.2f times what is tolerated was admitted", got)
 	}
 }
 
@@ -102,18 +104,18 @@
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		l := newTeamLoad(f)
 		l.offer(5*time.Second, 0.55*teamRate)
-		if l.given < 0.95*l.asked {
-			t.Errorf("%.0f of %.0f tokens that it may use", l.given, l.asked)
+		if l.admitted < 0.95*l.requested {
+			t.Errorf("%.0f of %.0f tokens admitted though the team is within its rate", l.admitted, l.requested)
 		}
 		l.offer(15*time.Second, 4*teamRate)
 		l.check(t)
-		if l.given < 15*teamRate {
-			t.Errorf("%.0f tokens in 20 s", l.given)
+		if l.admitted < 15*teamRate {
+			t.Errorf("%.0f tokens admitted in 20 s", l.admitted)
 		}
 	})
 }
 
-// Its hubs fall silent while a team asks for too much.
+// The hubs fall silent while a team exceeds its rate.
 func TestATeamIsKeptToItsRateWithoutHubs(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		l := newTeamLoad(f)
@@ -130,9 +132,9 @@
 	})
 }
 
-// All instances are killed and start again while a team asks for too much: what it has
-// spent is forgotten.
-func TestATeamIsKeptToItsRateAfterAllStartedAgain(t *testing.T) {
+// All instances are killed and restarted while a team exceeds its rate, and lose the record of the
+// tokens that it has used.
+func TestATeamIsKeptToItsRateAfterAllRestarted(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		l := newTeamLoad(f)
 		l.offer(8*time.Second, 4*teamRate)
@@ -146,63 +148,63 @@
 	})
 }
 
-// A zone that is cut off from the others hands out its part.
+// A zone that is cut off from the others grants its own share of the rate.
 func TestATeamIsKeptToItsRateByAZoneThatIsCutOff(t *testing.T) {
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		l := newTeamLoad(f)
 		l.offer(8*time.Second, 4*teamRate)
 		f.mu.Lock()
-		f.apart = "z1"
+		f.isolatedZone = "z1"
 		f.mu.Unlock()
 		l.offer(10*time.Second, 4*teamRate)
 		l.check(t)
 	})
 }
 
-// Digests that come less often, since there are many members and servers, are no silence;
-// a hub that is silent is one soon, and again after it was back.
-func TestAHubsWordCountsForAsLongAsItsDigestsTake(t *testing.T) {
+// Digests that come less often because there are many members and servers do not count as silence. A
+// hub that is silent counts as silent soon, also after an earlier outage.
+func TestAHubsUpdateCountsForAsLongAsItsDigestsTake(t *testing.T) {
 	least := DefaultConfig().AllotmentFresh
 	for _, every := range []time.Duration{75 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond} {
 		var a *adoption
 		now := time.Unix(1000, 0)
-		play := func(digests int) {
+		receive := func(digests int) {
 			for range digests {
 				next := a.next(now)
 				a = &next
 				now = now.Add(every)
 			}
 		}
-		play(12)
+		receive(12)
 		for i := range 20 {
 			if !a.fresh(now, least) {
-				t.Fatalf("each %v: not fresh before digest %d", every, i)
+				t.Fatalf("digest every %v: not fresh before digest %d", every, i)
 			}
-			play(1)
+			receive(1)
 		}
 		last := a.at
 		if a.fresh(last.Add(max(least, 2*every)+time.Millisecond), least) {
-			t.Errorf("each %v: a silent hub's word counts", every)
+			t.Errorf("digest every %v: the update of a silent hub counts", every)
 		}
 		now = last.Add(time.Minute)
-		play(1)
+		receive(1)
 		if a.fresh(a.at.Add(2*longestAdoption+time.Millisecond), least) {
-			t.Errorf("each %v: after an outage the hub's word counts for too long", every)
+			t.Errorf("digest every %v: after an outage the update of the hub counts for too long", every)
 		}
 	}
 }
 
-// Hubs with much to send send digests each 0.4 s, and more often while updates are urgent:
-// the time between two says little of the next. A team that asks for less than its rate is
+// Hubs with much to send send digests each 0.4 s, and more often while updates are urgent. The time
+// between two digests then says little about the next. A team that requests less than its rate is
 // served all the same.
 func TestATeamIsServedWhereDigestsAreRare(t *testing.T) {
 	if racedetector.On {
-		t.Skip("too many instances for the race detector; CI plays them without it")
+		t.Skip("too many instances for the race detector; CI runs them without it")
 	}
 	config := DefaultConfig()
 	config.HubBytes = 16 << 10
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, manySizes[1], config)
+		f := newFleet(t, manyInstanceSizes[1], config)
 		end := f.start()
 		defer end()
 		time.Sleep(5 * time.Second)
@@ -212,16 +214,16 @@
 		defer stop()
 		f.running.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
-				for _, hub := range f.hubsOf() {
+				for _, hub := range f.activeHubs() {
 					hub.sendHeartbeats()
 				}
 				time.Sleep(time.Duration(40+i%5/4*1500) * time.Millisecond)
 			}
 		})
 		l.offer(15*time.Second, 0.8*teamRate)
-		t.Logf("%.0f of %.0f tokens", l.given, l.asked)
-		if l.given < 0.95*l.asked {
-			t.Errorf("%.0f of %.0f tokens that it may use", l.given, l.asked)
+		t.Logf("%.0f of %.0f tokens", l.admitted, l.requested)
+		if l.admitted < 0.95*l.requested {
+			t.Errorf("%.0f of %.0f tokens admitted though the team is within its rate", l.admitted, l.requested)
 		}
 	})
 }
--- a/edge/updates_test.go
+++ b/edge/updates_test.go
@@ -15,58 +15,58 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-func TestLoadsHaveChangedIfSiblingsWouldDecideOtherwise(t *testing.T) {
-	told := []heartbeat.Load{{Server: 1, InFlight: 2, Unread: 500, Memory: 9000}, {Server: 4, InFlight: 1}}
+func TestLoadsHaveChangedIfSiblingsWouldDecideDifferently(t *testing.T) {
+	sent := []heartbeat.Load{{Server: 1, InFlight: 2, Unread: 500, Memory: 9000}, {Server: 4, InFlight: 1}}
 	with := func(change func(loads []heartbeat.Load)) []heartbeat.Load {
-		loads := append([]heartbeat.Load(nil), told...)
+		loads := append([]heartbeat.Load(nil), sent...)
 		change(loads)
 		return loads
 	}
 	for _, one := range []struct {
 		name    string
 		loads   []heartbeat.Load
-		updates bool
+		changed bool
 	}{
-		{"nothing", told, false},
-		{"a little memory", with(func(l []heartbeat.Load) { l[0].Memory += changedMemory - 1 }), false},
-		{"more memory", with(func(l []heartbeat.Load) { l[0].Memory += changedMemory }), true},
-		{"less memory", with(func(l []heartbeat.Load) { l[0].Memory -= changedMemory }), true},
+		{"nothing", sent, false},
+		{"a little memory", with(func(l []heartbeat.Load) { l[0].Memory += urgentMemoryChange - 1 }), false},
+		{"more memory", with(func(l []heartbeat.Load) { l[0].Memory += urgentMemoryChange }), true},
+		{"less memory", with(func(l []heartbeat.Load) { l[0].Memory -= urgentMemoryChange }), true},
 		{"a request", with(func(l []heartbeat.Load) { l[1].InFlight++ }), true},
-		{"a prompt that was read", with(func(l []heartbeat.Load) { l[0].Unread = 0 }), true},
+		{"a prefilled prompt", with(func(l []heartbeat.Load) { l[0].Unread = 0 }), true},
 		{"another server", with(func(l []heartbeat.Load) { l[1].Server = 5 }), true},
-		{"a server less", told[:1], true},
+		{"one server fewer", sent[:1], true},
 	} {
-		if got := loadsChanged(told, one.loads); got != one.updates {
-			t.Errorf("%s: updates %t", one.name, got)
+		if got := loadsChanged(sent, one.loads); got != one.changed {
+			t.Errorf("%s: changed %t", one.name, got)
 		}
 	}
 }
 
 func TestHeartbeatsAreRarerAmongManySiblings(t *testing.T) {
-	in := candidate("a", &claims{}, workersOf(1, 1))
-	if got := in.quickBeat(); got != in.config.QuickBeat {
+	in := bareInstance("a", &claims{}, enginesOf(1, 1))
+	if got := in.minBeatPause(); got != in.config.QuickBeat {
 		t.Errorf("alone: %v", got)
 	}
 	for _, name := range []string{"b", "c", "d", "e", "f", "g", "h", "i"} {
 		in.members.Heard(member.Info{Name: name, Incarnation: 1, Peer: name}, time.Now())
 	}
-	if got := in.quickBeat(); got != 8*in.config.QuickBeatPerSibling {
+	if got := in.minBeatPause(); got != 8*in.config.QuickBeatPerSibling {
 		t.Errorf("eight siblings: %v", got)
 	}
 	for i := range 400 {
 		name := string(rune('A' + i))
 		in.members.Heard(member.Info{Name: name, Incarnation: 1, Peer: name}, time.Now())
 	}
-	if got := in.quickBeat(); got != in.config.Members.HeartbeatEvery {
-		t.Errorf("four hundred: %v", got)
+	if got := in.minBeatPause(); got != in.config.Members.HeartbeatEvery {
+		t.Errorf("four hundred siblings: %v", got)
 	}
 }
 
-func TestWhatASiblingTellsCountsAtOnce(t *testing.T) {
+func TestLoadsOfASiblingCountAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := workersOf(0, 1)
-		in := candidate("a", &claims{}, engines)
-		in.see(engines)
+		engines := enginesOf(0, 1)
+		in := bareInstance("a", &claims{}, engines)
+		in.readEngines(engines)
 		ctx, stop := context.WithCancel(context.Background())
 		go in.followLoads(ctx)
 		var engine string
@@ -79,7 +79,7 @@
 		time.Sleep(in.config.QuickBeat)
 		synctest.Wait()
 		if got := in.Fleet.Server(engine).Others().Memory; got != 7000 {
-			t.Errorf("siblings hold %d tokens", got)
+			t.Errorf("siblings have committed %d tokens", got)
 		}
 		stop()
 		synctest.Wait()
@@ -88,9 +88,9 @@
 
 func TestSumsOverManySiblingsAreRarer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := workersOf(0, 1)
-		in := candidate("a", &claims{}, engines)
-		in.see(engines)
+		engines := enginesOf(0, 1)
+		in := bareInstance("a", &claims{}, engines)
+		in.readEngines(engines)
 		for i := range 100 {
 			in.members.Heard(member.Info{Name: string(rune('A' + i)), Incarnation: 1, Peer: "127.0.0.1:1"}, time.Now())
 		}
@@ -111,15 +111,15 @@
 		time.Sleep(time.Millisecond)
 		synctest.Wait()
 		if got := in.Fleet.Server(engine).Others().Memory; got != 7000 {
-			t.Errorf("siblings hold %d tokens", got)
+			t.Errorf("siblings have committed %d tokens", got)
 		}
 		stop()
 		synctest.Wait()
 	})
 }
 
-func TestTheListIsReadMoreRarelyByManyInstances(t *testing.T) {
-	in := candidate("a", &claims{}, workersOf(1, 1))
+func TestTheListIsReadLessOftenByManyInstances(t *testing.T) {
+	in := bareInstance("a", &claims{}, enginesOf(1, 1))
 	if got := in.readPause(); got != in.config.ReadEvery {
 		t.Errorf("alone: %v", got)
 	}
@@ -131,24 +131,24 @@
 		}
 	}
 	if got := in.readPause(); got != in.config.ReadAtMost {
-		t.Errorf("four hundred: %v", got)
+		t.Errorf("four hundred siblings: %v", got)
 	}
 }
 
-// lists answers polls for changes of the list; some of the first fail.
-type lists struct {
+// failingLists answers polls for changes of the list. The first polls fail.
+type failingLists struct {
 	fail  int
 	waits []time.Duration
 }
 
-func (l *lists) Newest(context.Context, func(context.Context) error) (registry.Snapshot, error) {
+func (l *failingLists) Newest(context.Context, func(context.Context) error) (registry.Snapshot, error) {
 	return registry.Snapshot{Position: 1}, nil
 }
 
-func (l *lists) Since(ctx context.Context, position oplog.Position, wait time.Duration) ([]registry.Change, oplog.Position, error) {
+func (l *failingLists) Since(ctx context.Context, position oplog.Position, wait time.Duration) ([]registry.Change, oplog.Position, error) {
 	l.waits = append(l.waits, wait)
 	if len(l.waits) <= l.fail {
-		return nil, position, errors.New("away")
+		return nil, position, errors.New("unavailable")
 	}
 	select {
 	case <-time.After(wait):
@@ -160,15 +160,15 @@
 
 func TestTheFirstPollAfterAFailureDoesNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		in := candidate("a", &claims{}, workersOf(1, 1))
-		list := &lists{fail: 2}
+		in := bareInstance("a", &claims{}, enginesOf(1, 1))
+		list := &failingLists{fail: 2}
 		in.deps.Servers = list
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		in.list.follow(ctx)
 		want := []time.Duration{in.config.StoreWait, 0, 0, in.config.StoreWait}
 		if len(list.waits) < len(want) || !slices.Equal(list.waits[:len(want)], want) {
-			t.Errorf("asked with waits of %v, want %v", list.waits, want)
+			t.Errorf("polled with waits of %v, want %v", list.waits, want)
 		}
 	})
 }
--- a/edge/uses_test.go
+++ b/edge/uses_test.go
@@ -15,33 +15,35 @@
 	"github.com/mastwheel/mastwheel/subset"
 )
 
-// Sizes of tests with many servers, small enough to run often.
+// Sizes of tests with many servers. They are small enough for frequent runs.
 const (
-	manyServers    = 300
-	someInstances  = 59
-	usedAtMost     = 110
-	servesOfAHub   = 2 * 3
-	smallestSubset = 10
+	manyServers   = 300
+	someInstances = 59
+	maxSubset     = 110
+	hubCount      = 2 * 3
+	minSubset     = 10
 )
 
-// manyConfig has instances use parts of some hundreds of servers.
-func manyConfig() Config {
+// manyServersConfig returns a configuration with which instances use subsets of some hundreds of
+// servers.
+func manyServersConfig() Config {
 	config := DefaultConfig()
 	config.Subset = subset.Config{AllAtMost: 64, NearAtLeast: 12, FarAtLeast: 4, UsersAtLeast: 4}
 	return config
 }
 
+// manyID returns the identifier of one of the many servers.
 func manyID(i int) string { return fmt.Sprintf("m%03d", i) }
 
-// withManyServers plays instances that use parts of many servers in three zones.
+// withManyServers runs a test on instances that use subsets of many servers in three zones.
 func withManyServers(t *testing.T, test func(f *fleet)) {
 	t.Helper()
 	if racedetector.On {
 		t.Skip("too many goroutines for the race detector")
 	}
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, someInstances, manyConfig())
-		f.store.page = 50
+		f := newFleet(t, someInstances, manyServersConfig())
+		f.store.pageSize = 50
 		for i := range manyServers {
 			f.store.registerIn(manyID(i), fmt.Sprint("z", i%3))
 		}
@@ -52,7 +54,7 @@
 	})
 }
 
-// users are the instances that use a server.
+// users returns the instances that use a server.
 func (f *fleet) users(id string) (users []*Instance) {
 	for _, in := range f.all() {
 		if in.Servers().ByRun[id] != nil {
@@ -62,8 +64,8 @@
 	return users
 }
 
-// whole counts the instances that know the whole list.
-func (f *fleet) whole() (count int) {
+// fullLists returns the number of instances that know the full list.
+func (f *fleet) fullLists() (count int) {
 	for _, in := range f.all() {
 		if !in.registry.View().Part {
 			count++
@@ -72,13 +74,13 @@
 	return count
 }
 
-func TestInstancesKnowPartsOfManyServers(t *testing.T) {
+func TestInstancesKnowSubsetsOfManyServers(t *testing.T) {
 	withManyServers(t, func(f *fleet) {
-		if n := f.whole(); n > servesOfAHub {
-			t.Errorf("%d of %d instances know the whole list", n, someInstances)
+		if n := f.fullLists(); n > hubCount {
+			t.Errorf("%d of %d instances know the full list", n, someInstances)
 		}
 		for _, in := range f.instances {
-			if used := len(in.Servers().ByRun); used > usedAtMost || used < smallestSubset {
+			if used := len(in.Servers().ByRun); used > maxSubset || used < minSubset {
 				t.Errorf("%s uses %d of %d servers", in.config.Name, used, manyServers)
 			}
 			if list := in.registry.View(); list.Part && len(list.Servers) != len(in.Servers().ByRun) {
@@ -87,22 +89,22 @@
 		}
 		for i := range manyServers {
 			if len(f.users(manyID(i))) == 0 {
-				t.Errorf("nobody uses %s", manyID(i))
+				t.Errorf("no instance uses %s", manyID(i))
 			}
 		}
 	})
 }
 
-// Whoever uses a server knows what becomes of it as soon as with few servers, whether changes
-// come one by one or a hundred at a time; the others are not told.
-func TestChangesReachThoseThatUseTheServer(t *testing.T) {
+// The instances that use a server know its changes as soon as with few servers, whether changes come
+// one by one or a hundred at a time. The other instances do not receive them.
+func TestChangesReachTheInstancesThatUseTheServer(t *testing.T) {
 	withManyServers(t, func(f *fleet) {
 		for i := range 5 {
 			id, users := manyID(i), f.users(manyID(i))
 			f.store.register(id, true)
-			await(t, "leaves", users, drains(id))
+			checkKnown(t, "drains", users, knowsDraining(id))
 			f.store.remove(id)
-			await(t, "is gone", users, func(in *Instance) bool { return in.Servers().ByRun[id] == nil })
+			checkKnown(t, "is removed", users, func(in *Instance) bool { return in.Servers().ByRun[id] == nil })
 		}
 		users := make(map[string][]*Instance)
 		f.store.change(func() {
@@ -113,17 +115,17 @@
 			}
 		})
 		time.Sleep(mustKnow)
-		for id, those := range users {
-			for _, in := range those {
+		for id, instances := range users {
+			for _, in := range instances {
 				if entry := in.Servers().ByRun[id]; entry == nil || !entry.Draining {
-					t.Errorf("%s does not know that %s leaves", in.config.Name, id)
+					t.Errorf("%s does not know that %s drains", in.config.Name, id)
 				}
 			}
 		}
 		f.store.registerIn("late", "z1")
 		time.Sleep(mustKnow)
 		if n := len(f.users("late")); n == 0 || n > someInstances/2 {
-			t.Errorf("%d use a server that has just come", n)
+			t.Errorf("%d instances use a server that was just registered", n)
 		}
 		for _, in := range f.instances {
 			if position := in.registry.View().Position; position != f.store.end() {
@@ -133,48 +135,48 @@
 	})
 }
 
-// end is the position behind the list's last change.
+// end returns the position after the last change of the list.
 func (s *memoryStore) end() oplog.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return oplog.Position(len(s.servers))
 }
 
-// await checks that something holds at some instances in time.
-func await(t *testing.T, what string, those []*Instance, holds func(in *Instance) bool) {
+// checkKnown checks that a condition holds at some instances after mustKnow.
+func checkKnown(t *testing.T, what string, instances []*Instance, holds func(in *Instance) bool) {
 	t.Helper()
 	time.Sleep(mustKnow)
-	for _, in := range those {
+	for _, in := range instances {
 		if !holds(in) {
 			t.Errorf("%s does not know in time that a server %s", in.config.Name, what)
 		}
 	}
 }
 
-// After all hubs were lost at once others read the list for all: from each other or the store,
-// and few of them do.
-func TestWhoeverBecomesAHubKnowsTheWholeList(t *testing.T) {
+// After all hubs were lost at once, others become hubs and need the full list. Few of them read it,
+// from each other or from the store.
+func TestNewHubsKnowTheFullList(t *testing.T) {
 	withManyServers(t, func(f *fleet) {
-		var left []*Instance
+		var remaining []*Instance
 		f.mu.Lock()
 		for _, in := range f.instances {
 			if in.hubs.isHub() {
 				f.cut[in.config.SiblingAddress] = true
 			} else {
-				left = append(left, in)
+				remaining = append(remaining, in)
 			}
 		}
 		f.mu.Unlock()
-		// To read the whole list takes longer than two looks at whether it is there.
-		f.store.pageTakes = 100 * time.Millisecond
-		before := f.store.calledBy(left)
+		// To read the full list takes longer than the time between two checks whether it is known.
+		f.store.pageLatency = 100 * time.Millisecond
+		before := f.store.calledBy(remaining)
 		time.Sleep(8 * time.Second)
 		hubs := 0
-		for _, in := range left {
+		for _, in := range remaining {
 			if in.hubs.isHub() {
 				hubs++
 				if in.registry.View().Part {
-					t.Errorf("%s is a hub and knows %d servers", in.config.Name, len(in.registry.View().Servers))
+					t.Errorf("%s is a hub and knows only %d servers", in.config.Name, len(in.registry.View().Servers))
 				}
 			}
 		}
@@ -185,11 +187,11 @@
 		users := f.users(manyID(7))
 		time.Sleep(mustKnow)
 		for _, in := range users {
-			if !drains(manyID(7))(in) && !f.cut[in.config.SiblingAddress] {
-				t.Errorf("%s does not know that a server leaves", in.config.Name)
+			if !knowsDraining(manyID(7))(in) && !f.cut[in.config.SiblingAddress] {
+				t.Errorf("%s does not know that a server drains", in.config.Name)
 			}
 		}
-		calls := f.store.calledBy(left) - before
+		calls := f.store.calledBy(remaining) - before
 		t.Logf("%d calls to the store", calls)
 		if calls > 150 {
 			t.Errorf("%d calls to the store", calls)
@@ -197,8 +199,8 @@
 	})
 }
 
-// What others have committed at a server is known to those that use it.
-func TestLoadsReachThoseThatUseTheServer(t *testing.T) {
+// The instances that use a server know what others have committed there.
+func TestLoadsReachTheInstancesThatUseTheServer(t *testing.T) {
 	withManyServers(t, func(f *fleet) {
 		id := manyID(10)
 		users := f.users(id)
@@ -208,33 +210,33 @@
 		time.Sleep(700 * time.Millisecond)
 		for _, in := range users {
 			if others := in.Fleet.Server(id).Others().Memory; others != 1000*(len(users)-1) {
-				t.Errorf("%s knows of %d, not of %d", in.config.Name, others, 1000*(len(users)-1))
+				t.Errorf("%s knows commitments of %d tokens, not of %d", in.config.Name, others, 1000*(len(users)-1))
 			}
 			in.Fleet.Server(id).Hold(-1000)
 		}
 		time.Sleep(time.Second)
 		for _, in := range users {
 			if others := in.Fleet.Server(id).Others(); others != (route.Commitment{}) {
-				t.Errorf("%s still knows of %+v", in.config.Name, others)
+				t.Errorf("%s still knows the commitment %+v", in.config.Name, others)
 			}
 		}
 	})
 }
 
-// A newcomer reads its part, not the list.
-func TestANewcomerIsGivenItsPart(t *testing.T) {
+// A new instance reads its subset, not the full list.
+func TestANewInstanceReadsItsSubset(t *testing.T) {
 	withManyServers(t, func(f *fleet) {
 		f.add(someInstances)
-		newcomer := f.instances[someInstances]
+		newInstance := f.instances[someInstances]
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		f.running.Go(func() { _ = newcomer.Run(ctx) })
+		f.running.Go(func() { _ = newInstance.Run(ctx) })
 		time.Sleep(2 * time.Second)
-		if used := len(newcomer.Servers().ByRun); used < smallestSubset || newcomer.Revision() == 0 {
-			t.Errorf("knows %d servers and revision %d", used, newcomer.Revision())
+		if used := len(newInstance.Servers().ByRun); used < minSubset || newInstance.Revision() == 0 {
+			t.Errorf("knows %d servers and revision %d", used, newInstance.Revision())
 		}
-		time.Sleep(manyConfig().WholeFor + 3*time.Second)
-		if used := len(newcomer.Servers().ByRun); used > usedAtMost || used < smallestSubset {
+		time.Sleep(manyServersConfig().WholeFor + 3*time.Second)
+		if used := len(newInstance.Servers().ByRun); used > maxSubset || used < minSubset {
 			t.Errorf("uses %d servers", used)
 		}
 	})
@@ -246,16 +248,16 @@
 		id := fmt.Sprint("s", i)
 		updates.Changes = append(updates.Changes, registry.Change{ID: id, Entry: &registry.Entry{ID: id}})
 	}
-	check := func(what string, pieces []heartbeat.Updates, want ...string) {
+	check := func(what string, parts []heartbeat.Updates, want ...string) {
 		t.Helper()
 		at, got := updates.From, []string(nil)
-		for _, piece := range pieces {
-			if piece.From != at {
-				t.Errorf("%s: a piece from %d where %d comes next", what, piece.From, at)
+		for _, part := range parts {
+			if part.From != at {
+				t.Errorf("%s: a part starts at %d where %d comes next", what, part.From, at)
 			}
-			at = piece.To
-			text := fmt.Sprintf("%d:", piece.To)
-			for _, change := range piece.Changes {
+			at = part.To
+			text := fmt.Sprintf("%d:", part.To)
+			for _, change := range part.Changes {
 				text += change.ID
 			}
 			got = append(got, text)
@@ -272,8 +274,9 @@
 	check("few of which some are missing", split(updates, []int{1, 4}, 4), "112:s1s4")
 }
 
-// Changes of a server that was used, and of one of which nothing is known, are told too.
-func TestAPartOfUpdatesHoldsWhatConcernsIt(t *testing.T) {
+// Updates for a subset include the changes of a server that was in the subset before, and of a server
+// of which nothing is known.
+func TestUpdatesForASubsetHoldItsChanges(t *testing.T) {
 	uses := subset.New("i", "z", []subset.Share{{Service: "few", Near: 60, Far: 60}})
 	before := &registry.View{Servers: []registry.Server{
 		{Entry: registry.Entry{ID: "a", Service: "all"}}, {Entry: registry.Entry{ID: "b", Service: "few"}}, {Entry: registry.Entry{ID: "c", Service: "few"}},
@@ -281,43 +284,43 @@
 	updates := heartbeat.Updates{From: 0, To: 5, Changes: []registry.Change{
 		{ID: "a"}, {ID: "b"}, {ID: "c", Entry: &registry.Entry{ID: "c", Service: "all"}}, {ID: "d"}, {ID: "e", Entry: &registry.Entry{ID: "e", Service: "few"}},
 	}}
-	pieces := partOf(updates, entriesBefore(updates.Changes, before), uses, 10)
+	parts := partOf(updates, entriesBefore(updates.Changes, before), uses, 10)
 	got := ""
-	for _, change := range pieces[0].Changes {
+	for _, change := range parts[0].Changes {
 		got += change.ID
 	}
-	if got != "acd" || pieces[0].Of != uses.Fingerprint() {
-		t.Errorf("%q of %d", got, pieces[0].Of)
+	if got != "acd" || parts[0].Of != uses.Fingerprint() {
+		t.Errorf("%q of %d", got, parts[0].Of)
 	}
 }
 
-// Instances that start together, for the first time or after all were lost, leave it to few to
-// read the whole list.
-func TestFewReadTheWholeListAtTheStart(t *testing.T) {
+// Of instances that start together, for the first time or after all were lost, only few read the full
+// list.
+func TestFewInstancesReadTheFullListAtTheStart(t *testing.T) {
 	if racedetector.On {
 		t.Skip("too many goroutines for the race detector")
 	}
 	for name, first := range map[string]bool{"first start": true, "after all were lost": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				config := manyConfig()
+				config := manyServersConfig()
 				config.FirstStart = first
 				f := newFleet(t, someInstances, config)
-				f.store.page = 50
+				f.store.pageSize = 50
 				for i := range manyServers {
 					f.store.registerIn(manyID(i), fmt.Sprint("z", i%3))
 				}
 				began := time.Now()
 				end := f.start()
 				took := f.slowest(func(in *Instance) bool { return in.Ready() })
-				t.Logf("all serve after %v; %d calls, %d of them pages beyond the first", took, f.store.called(), f.store.pages)
+				t.Logf("all instances serve after %v; %d calls, %d of them for pages beyond the first", took, f.store.called(), f.store.extraPages)
 				if took > 9*time.Second {
-					t.Errorf("all serve after %v", took)
+					t.Errorf("all instances serve after %v", took)
 				}
 				time.Sleep(20*time.Second - time.Since(began))
-				// Six hubs, the pages of each, and some that heard of none in time.
-				if f.store.pages > 12*6 {
-					t.Errorf("%d pages beyond the first were read", f.store.pages)
+				// Six hubs read all pages, and so do some instances that knew no hub in time.
+				if f.store.extraPages > 12*6 {
+					t.Errorf("%d pages beyond the first were read", f.store.extraPages)
 				}
 				end()
 			})
