--- a/edge/beat.go
+++ b/edge/beat.go
@@ -136,7 +136,7 @@
 	// would make older data look as new as the update.
 	table, servers := in.tableFeed.age(now), in.list.age(now)
 	return heartbeat.Message{
-		From: in.info(), Changing: in.peers.underWay(now), TableHeard: table, ServersHeard: servers,
+		From: in.info(), Changing: in.peers.ownUnderWay(now), TableHeard: table, ServersHeard: servers,
 		Poison: in.Poison.Update(now), Pressure: in.Fleet.Backpressure.Update(now),
 		Evacuation: in.evacuation.Load(),
 	}
--- a/edge/catchup.go
+++ b/edge/catchup.go
@@ -54,7 +54,7 @@
 	list := in.registry.View()
 	if !list.Part && (list.Position > have.Position || (have.Anew && list.Position == have.Position && list.Position > 0)) {
 		table := snapshot.Table
-		snapshot = in.partFor(have, list)
+		snapshot = in.subsetSnapshot(have, list)
 		snapshot.Table = table
 	}
 	return snapshot
@@ -87,7 +87,7 @@
 // catchUpPause returns the pause between two checks. An instance whose hubs send it changes as
 // they occur checks only for lost ones.
 func (in *Instance) catchUpPause() time.Duration {
-	if in.registry.View().Part && !in.needsWhole() {
+	if in.registry.View().Part && !in.needsFullList() {
 		return in.config.KeepEvery
 	}
 	return in.config.CatchUpEvery
@@ -107,7 +107,7 @@
 func (in *Instance) snapshotRequest() Have {
 	return Have{
 		Revision: in.tableFeed.progress(), Position: in.registry.View().Position,
-		Name: in.config.Name, Zone: in.config.Zone, Uses: in.uses.Load().Shares(), Whole: in.needsWhole(),
+		Name: in.config.Name, Zone: in.config.Zone, Uses: in.uses.Load().Shares(), Whole: in.needsFullList(),
 	}
 }
 
@@ -203,12 +203,12 @@
 	}
 	if snapshot.Table != nil {
 		in.adoptTable(snapshot.Table, sibling.Name)
-		in.tableFeed.grew(mine.Revision)
+		in.tableFeed.noteProgress(mine.Revision)
 	}
 	if snapshot.Servers != nil {
-		in.takeList(&snapshot, sibling.Name)
+		in.applyList(&snapshot, sibling.Name)
 		in.list.markKnown()
-		in.list.grew(uint64(mine.Position))
+		in.list.noteProgress(uint64(mine.Position))
 	}
 	return nil
 }
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -138,7 +138,7 @@
 			return nil
 		})
 	}
-	group.Go(func() error { return in.deps.Socket.Receive(ctx, in.heard, in.strange) })
+	group.Go(func() error { return in.deps.Socket.Receive(ctx, in.handleMessage, in.logDropped) })
 	return group.Wait()
 }
 
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -410,7 +410,7 @@
 	sent := make(map[string]int)
 	in.config.NearPerBeat = 24
 	for turn := range 10 * every {
-		for _, address := range in.due(addresses, turn, every) {
+		for _, address := range in.dueAddresses(addresses, turn, every) {
 			sent[address]++
 		}
 	}
--- a/edge/entry.go
+++ b/edge/entry.go
@@ -104,7 +104,7 @@
 	}
 	for name, address := range addresses {
 		if name != in.config.Name {
-			in.peers.learn(address, clock.Now())
+			in.peers.addAddress(address, clock.Now())
 		}
 	}
 	return 0
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -95,7 +95,7 @@
 		return f.config.IdleLook
 	}
 	if f.awaitsOthers() {
-		return startLook
+		return startCheckEvery
 	}
 	if began := clock.Since(f.started); f.progress() > 0 && began < f.config.StartPatience {
 		return f.config.StartPatience - began
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -112,14 +112,14 @@
 func (in *Instance) readServers(ctx context.Context, known bool, wait time.Duration) (time.Time, error) {
 	sentAt := clock.Now()
 	if !known {
-		snapshot, err := in.deps.Servers.Newest(ctx, in.readsOn)
+		snapshot, err := in.deps.Servers.Newest(ctx, in.awaitReadTurn)
 		if err != nil {
 			return time.Time{}, err
 		}
 		in.list.noteAnswer(sentAt, false)
 		in.registry.Take(snapshot, nil, clock.Now())
 		in.rebuild()
-		in.reviewUses(clock.Now())
+		in.reviewSubset(clock.Now())
 		return in.confirmedUpTo(sentAt, snapshot.Position), nil
 	}
 	from := in.registry.View().Position
@@ -170,7 +170,7 @@
 		in.rebuild()
 		if now.Sub(reviewed) >= in.config.ReviewEvery {
 			reviewed = now
-			in.reviewUses(now)
+			in.reviewSubset(now)
 		}
 		// A dead sibling or a new server changes the sums too.
 		in.sumLoads()
--- a/edge/fuzz_test.go
+++ b/edge/fuzz_test.go
@@ -31,7 +31,7 @@
 			return
 		}
 		in := bareInstance("a", &claims{}, enginesOf(1, 1))
-		in.heard(message)
+		in.handleMessage(message)
 		in.sumLoads()
 		now := time.Now()
 		for _, feed := range in.feeds() {
--- a/edge/hubbeat.go
+++ b/edge/hubbeat.go
@@ -13,57 +13,58 @@
 	"github.com/mastwheel/mastwheel/operation"
 )
 
-// usesHubs says whether there are too many instances for each to send its state to all others.
+// usesHubs reports whether there are too many instances for each to send its state to all
+// others.
 func (in *Instance) usesHubs() bool { return in.Instances() > in.config.MeshAtMost }
 
-// hubBeat sends the hubs this instance's state, if that is due, and those that ask
-// this instance what all others do.
+// hubBeat sends this instance's state to its hubs if that is due. As a hub, it also sends
+// digests to its subscribers.
 func (in *Instance) hubBeat(now time.Time, loads []heartbeat.Load, changed, urgent bool) {
 	in.members.SetSuspectAfter(in.config.DirectSilence)
 	view := in.members.View()
 	self := in.info()
-	chosen := in.hubs.chooseAnew(self, view.Siblings, now)
-	mine := chosen[self.Zone]
-	hub := holds(mine, self.Name)
-	in.setReads(mine[0].Name == self.Name)
-	if before := in.hubs.follow(mine[0].Name); before != mine[0].Name {
-		klog.InfoS("Hub chosen", "hub", mine[0].Name, "before", before, "zone", self.Zone, "capacity", mine[0].Capacity,
+	chosen := in.hubs.chooseAndStore(self, view.Siblings, now)
+	ownHubs := chosen[self.Zone]
+	hub := containsName(ownHubs, self.Name)
+	in.setLongPolls(ownHubs[0].Name == self.Name)
+	if before := in.hubs.setFollowed(ownHubs[0].Name); before != ownHubs[0].Name {
+		klog.InfoS("Hub chosen", "hub", ownHubs[0].Name, "before", before, "zone", self.Zone, "capacity", ownHubs[0].Capacity,
 			"instances", in.Instances(), "isHub", hub)
 	}
-	settled := in.hubs.serve(hub, now) >= in.config.HubGrace
+	settled := in.hubs.setHub(hub, now) >= in.config.HubGrace
 	in.watch(settled)
 	every := in.config.KeepEvery
 	if changed || urgent || in.hubs.takeAcknowledge() {
 		every = 0
 	}
-	// The beat may come a little early.
-	if in.hubs.due(&in.hubs.notified, every*9/10, now) {
+	// The beat may run a little early.
+	if in.hubs.due(&in.hubs.lastNotify, every*9/10, now) {
 		in.sendToHubs(now, self, chosen, hub, settled, loads)
 	}
-	if in.hubs.due(&in.hubs.greeted, in.config.HelloEvery, now) {
-		in.greet(now, view, loads)
+	if in.hubs.due(&in.hubs.lastDiscovery, in.config.HelloEvery, now) {
+		in.discoverHubs(now, view, loads)
 		in.introduceHubs()
 	}
-	if in.hubs.due(&in.hubs.reviewed, in.config.ReviewEvery, now) {
+	if in.hubs.due(&in.hubs.lastReview, in.config.ReviewEvery, now) {
 		in.reviewSubscribers()
 	}
 	every = max(in.config.HubBeatEvery, in.hubs.pause)
 	if urgent {
 		every = 0
 	}
-	if in.hubs.due(&in.hubs.served, every, now) {
+	if in.hubs.due(&in.hubs.lastServe, every, now) {
 		in.hubs.pause = in.config.hubPause(in.serveSubscribers(now, view, settled, urgent, loads))
 	}
 }
 
-// hubPause is the pause after digests of so many bytes in all.
+// hubPause returns the pause after digests of the given total size.
 func (c Config) hubPause(bytes int) time.Duration {
 	pause := time.Duration(float64(bytes) / float64(c.HubBytes) * float64(time.Second))
 	return min(pause, c.HubSilence*2/3)
 }
 
-// watch judges the members of the own zone by what is heard of them, once all of them
-// have had the time to choose this instance as a hub.
+// watch lets this instance judge the siblings of its own zone by its direct contact with them. A
+// hub does so once all of them have had the time to choose it.
 func (in *Instance) watch(settled bool) {
 	if settled {
 		in.members.Watch(in.config.Zone)
@@ -72,7 +73,7 @@
 	}
 }
 
-func holds(infos []member.Info, name string) bool {
+func containsName(infos []member.Info, name string) bool {
 	for _, info := range infos {
 		if info.Name == name {
 			return true
@@ -81,70 +82,73 @@
 	return false
 }
 
-// sendToHubs sends a heartbeat to the hubs of the own zone. The best of them is asked
-// for what it knows, and by itself, until it has settled, the second. A hub asks the
-// best one of each other zone too.
+// sendToHubs sends a heartbeat to the hubs of this instance's zone. Only the best hub is
+// requested to send digests. An instance that is the best hub itself requests them from the
+// second one until it has settled. A hub also requests them from the best hub of each other
+// zone.
 func (in *Instance) sendToHubs(now time.Time, self member.Info, chosen map[string][]member.Info, hub, settled bool, loads []heartbeat.Load) {
-	asked := make(map[string]bool)
+	requested := make(map[string]bool)
 	message := in.message(now)
 	message.Hubs, message.Loads = true, loads
 	message.Spent = in.Allotments.Spent(now)
-	in.hubs.say(message.From.Uptime, loads)
+	in.hubs.recordSent(message.From.Uptime, loads)
 	wanted := !settled || chosen[self.Zone][0].Name != self.Name
 	for _, info := range chosen[self.Zone] {
 		if info.Name == self.Name {
 			continue
 		}
-		in.sendToHub(now, message, info, wanted, asked)
+		in.sendToHub(now, message, info, wanted, requested)
 		wanted = false
 	}
 	if hub {
-		// Other zones hear what this one has committed and spent in its hub's digests.
+		// Other zones receive the commitments and the spending of this zone in its hub's
+		// digests.
 		message.Loads, message.Spent = nil, nil
 		for zone, infos := range chosen {
 			if zone != self.Zone {
-				in.sendToHub(now, message, infos[0], true, asked)
+				in.sendToHub(now, message, infos[0], true, requested)
 			}
 		}
 	}
-	for _, name := range in.hubs.review(asked, now) {
-		klog.InfoS("Hub silent; left alone for a while", "sibling", name, "silentMillis", in.config.HubSilence.Milliseconds(), "avoidedMillis", in.config.HubAvoidedFor.Milliseconds())
+	for _, name := range in.hubs.dropSilent(requested, now) {
+		klog.InfoS("Hub did not answer and is avoided for a while", "sibling", name, "silentMillis", in.config.HubSilence.Milliseconds(), "avoidedMillis", in.config.HubAvoidedFor.Milliseconds())
 	}
 }
 
-func (in *Instance) sendToHub(now time.Time, message heartbeat.Message, to member.Info, want bool, asked map[string]bool) {
+func (in *Instance) sendToHub(now time.Time, message heartbeat.Message, to member.Info, want bool, requested map[string]bool) {
 	message.Want = want
 	message.Uses = nil
 	if want && message.From.Part {
 		message.Uses = in.uses.Load().Shares()
 	}
 	if want {
-		asked[to.Name] = true
-		message.Seen, message.SeenRun = in.hubs.ask(to, now)
+		requested[to.Name] = true
+		message.Seen, message.SeenRun = in.hubs.noteRequest(to, now)
 	}
 	in.send(message, to.Peer)
 }
 
-// greet asks some addresses that belong to no known sibling who their hubs are. One
-// that nobody answers asks siblings too, whatever it believes of them.
-func (in *Instance) greet(now time.Time, view *member.View, loads []heartbeat.Load) {
+// discoverHubs requests the hubs from some addresses that belong to no known sibling. If no hub
+// or subscriber is in contact with this instance, it sends the request to known siblings too,
+// whatever their state.
+func (in *Instance) discoverHubs(now time.Time, view *member.View, loads []heartbeat.Load) {
 	known := make(map[string]bool, len(view.Siblings))
 	for _, sibling := range view.Siblings {
 		known[sibling.Peer] = true
 	}
-	strangers := slices.DeleteFunc(in.peers.addresses(now), func(address string) bool { return known[address] })
+	unknown := slices.DeleteFunc(in.peers.addresses(now), func(address string) bool { return known[address] })
 	if !in.hubs.connected(now) {
-		strangers = slices.AppendSeq(strangers, maps.Keys(known))
+		unknown = slices.AppendSeq(unknown, maps.Keys(known))
 	}
-	if len(strangers) == 0 {
+	if len(unknown) == 0 {
 		return
 	}
 	message := in.message(now)
 	message.Hubs, message.Want, message.Loads = true, true, loads
-	in.send(message, in.some(strangers, in.config.HelloAtOnce)...)
+	in.send(message, in.sample(unknown, in.config.HelloAtOnce)...)
 }
 
-// hubsOfZones returns the hubs of each zone as this instance chose them with the last beat.
+// hubsOfZones returns the hubs of each zone as this instance chose them at the last beat.
 func (in *Instance) hubsOfZones(now time.Time) map[string][]member.Info {
 	if chosen := in.hubs.lastChoice(now); chosen != nil {
 		return chosen
@@ -152,8 +156,8 @@
 	return in.hubs.choose(in.info(), in.members.View().Siblings, now)
 }
 
-// introduceHubs lets the hubs of other zones that ask this one know which hubs their zone
-// has: two that have each found half of their zone would else never hear of each other.
+// introduceHubs informs the subscribing hubs of other zones of the hubs of this zone. Without
+// that, two hubs that have each found half of their zone would never learn of each other.
 func (in *Instance) introduceHubs() {
 	for name, to := range in.hubs.current() {
 		if to.zone != in.config.Zone {
@@ -162,21 +166,20 @@
 	}
 }
 
-// serveSubscribers sends a digest to each instance that has asked lately, and returns
-// their bytes.
+// serveSubscribers sends a digest to each subscriber and returns the total number of bytes sent.
 func (in *Instance) serveSubscribers(now time.Time, view *member.View, settled, urgent bool, loads []heartbeat.Load) (bytes int) {
 	subscribers := in.hubs.toServe(now, in.config.KeepEvery, urgent)
 	if len(subscribers) == 0 {
 		return 0
 	}
-	in.hubs.account(view.Siblings, settled)
-	zone := in.peers.sum(direct(view, in.config.Zone, now, in.config.DirectSilence))
+	in.hubs.updateLog(view.Siblings, settled)
+	zone := in.peers.sum(directContacts(view, in.config.Zone, now, in.config.DirectSilence))
 	addLoads(zone, commitments(loads))
-	total := in.hubs.others(now)
+	total := in.hubs.otherZones(now)
 	addLoads(total, zone)
 	sums, err := in.dueSums(zone, total)
 	if err != nil {
-		klog.ErrorS(err, "Digests not sent")
+		klog.ErrorS(err, "Failed to send digests")
 		return 0
 	}
 	message := in.message(now)
@@ -189,10 +192,10 @@
 	for _, to := range subscribers {
 		digest := &heartbeat.Digest{Summed: true, Teams: teams, Instances: instances, After: to.seen, Echo: to.uptime, Outgrown: to.outgrown}
 		digest.Zone = to.zone != in.config.Zone
-		digest.Observations, digest.Upto = in.hubs.lacks(to.seen, view, repeat.keep(digest.Zone), now)
+		digest.Observations, digest.Upto = in.hubs.missingChanges(to.seen, view, repeat.keep(digest.Zone), now)
 		some := false
 		if digest.Loads, some, err = sums.of(to.subscriber, digest.Zone); err != nil {
-			klog.ErrorS(err, "Digest not sent", "sibling", to.name)
+			klog.ErrorS(err, "Failed to send digest", "sibling", to.name)
 			continue
 		}
 		if to.part && !to.due && !news && !some && len(digest.Observations) == 0 {
@@ -201,53 +204,54 @@
 		if settled {
 			digest.Observations = append(digest.Observations, repeat.next(digest.Zone, &to.turn)...)
 		}
-		in.hubs.told(to.name, to.turn, now)
+		in.hubs.recordDigest(to.name, to.turn, now)
 		message.Digest = digest
 		bytes += in.send(message, to.peer)
 	}
 	return bytes
 }
 
-// direct returns the siblings of a zone that were heard directly of late.
-func direct(view *member.View, zone string, now time.Time, within time.Duration) []*member.Sibling {
-	var heard []*member.Sibling
+// directContacts returns the siblings of a zone whose last direct contact is at most the given
+// duration ago.
+func directContacts(view *member.View, zone string, now time.Time, within time.Duration) []*member.Sibling {
+	var siblings []*member.Sibling
 	for _, sibling := range view.Siblings {
 		if sibling.Zone == zone && now.Sub(sibling.Heard) <= within {
-			heard = append(heard, sibling)
+			siblings = append(siblings, sibling)
 		}
 	}
-	return heard
+	return siblings
 }
 
-// heardOfHubs takes what a message says between hubs and members.
-func (in *Instance) heardOfHubs(message heartbeat.Message, now time.Time) {
+// handleHubMessage handles the parts of a message that concern hubs and their subscribers.
+func (in *Instance) handleHubMessage(message heartbeat.Message, now time.Time) {
 	if message.Digest != nil {
-		in.takeDigest(message, now)
+		in.applyDigest(message, now)
 	}
 	switch {
 	case message.Want:
-		in.wanted(message, now)
+		in.handleSubscription(message, now)
 	case !message.Hubs && in.usesHubs():
 		in.redirect(message.From)
 	}
 }
 
-// takeDigest takes in what a hub knows.
-func (in *Instance) takeDigest(message heartbeat.Message, now time.Time) {
+// applyDigest merges the digest of a hub into this instance's view.
+func (in *Instance) applyDigest(message heartbeat.Message, now time.Time) {
 	for _, seen := range message.Digest.Observations {
 		if seen.Age < 0 {
-			// From the future: it would count for ever.
+			// An observation from the future would never expire.
 			continue
 		}
 		before, known := in.members.Find(seen.Info.Name)
 		in.members.Report(seen.Info, seen.State, now.Add(-seen.Age), now)
 		if known && before.Reported != "" && before.Reported != seen.State {
-			klog.InfoS("Sibling reported", "sibling", seen.Info.Name, "incarnation", seen.Info.Incarnation, "zone", seen.Info.Zone,
+			klog.InfoS("Sibling state reported", "sibling", seen.Info.Name, "incarnation", seen.Info.Incarnation, "zone", seen.Info.Zone,
 				"before", before.Reported, "state", seen.State, "by", message.From.Name)
 		}
 	}
 	in.members.ConfirmReports(now)
-	in.hubs.take(message, in.config.Zone, now)
+	in.hubs.applyDigest(message, in.config.Zone, now)
 	if message.Digest.Outgrown {
 		in.outgrown.Store(&message.From.Name)
 	}
@@ -256,21 +260,21 @@
 	}
 }
 
-// wanted serves an instance that asks this one to be its hub, or names it better
-// ones: of its own zone anyone is served, of another one its hubs are.
-func (in *Instance) wanted(message heartbeat.Message, now time.Time) {
+// handleSubscription serves an instance that requests digests from this one, or sends it better
+// hubs. Any instance of the own zone is served. Of another zone, only its hubs are served.
+func (in *Instance) handleSubscription(message heartbeat.Message, now time.Time) {
 	chosen := in.hubsOfZones(now)
 	near := message.From.Zone == in.config.Zone
-	served := near || holds(chosen[message.From.Zone], message.From.Name)
+	served := near || containsName(chosen[message.From.Zone], message.From.Name)
 	if served {
-		in.hubs.asked(message, operation.Incarnation(in.self.Load()), now)
+		in.hubs.subscribe(message, operation.Incarnation(in.incarnation.Load()), now)
 	}
-	if !served || (near && !holds(chosen[in.config.Zone], in.config.Name)) {
+	if !served || (near && !containsName(chosen[in.config.Zone], in.config.Name)) {
 		in.redirect(message.From)
 	}
 }
 
-// redirect names an instance the hubs that its zone and this one's have.
+// redirect sends an instance the hubs of its own zone and of this instance's zone.
 func (in *Instance) redirect(to member.Info) {
 	now := clock.Now()
 	chosen := in.hubsOfZones(now)
--- a/edge/hubchoice.go
+++ b/edge/hubchoice.go
@@ -10,11 +10,12 @@
 	"github.com/mastwheel/mastwheel/member"
 )
 
-// Which instances are hubs: all that know the same instances choose the same.
+// This file chooses which instances are hubs. All instances that know the same siblings choose
+// the same hubs.
 
-// betterHub orders instances by how well they serve as hubs: those that take requests
-// before those that start or stop, then the strongest, among equals by a hash, so that
-// all choose the same.
+// betterHub orders instances by how well they serve as hubs. Instances that accept requests come
+// before those that start or stop. Among them, the one with the highest capacity comes first. A
+// hash breaks ties, so that all instances choose the same hubs.
 func betterHub(a, b member.Info) int {
 	return cmp.Or(
 		compareBools(a.Draining, b.Draining),
@@ -35,33 +36,33 @@
 	return 1
 }
 
-// choice is the hubs of each zone as they were chosen at a moment.
+// choice holds the hubs of each zone as chosen at one moment.
 type choice struct {
 	at   time.Time
 	hubs map[string][]member.Info
 }
 
-// choiceHolds is how long a choice is gone by between two beats: each question of a member is
-// answered by it, hundreds a second.
-const choiceHolds = 200 * time.Millisecond
+// choiceLifetime is how long a choice is reused between two beats. Each of the hundreds of
+// requests a second from subscribers needs the current choice.
+const choiceLifetime = 200 * time.Millisecond
 
-// chooseAnew chooses with a beat.
-func (h *hubs) chooseAnew(self member.Info, siblings []*member.Sibling, now time.Time) map[string][]member.Info {
+// chooseAndStore chooses the hubs at a beat and keeps the choice for lastChoice.
+func (h *hubs) chooseAndStore(self member.Info, siblings []*member.Sibling, now time.Time) map[string][]member.Info {
 	chosen := h.choose(self, siblings, now)
 	h.choice.Store(&choice{at: now, hubs: chosen})
 	return chosen
 }
 
-// lastChoice returns the last choice; nil if that was long ago.
+// lastChoice returns the last choice, or nil if it is older than choiceLifetime.
 func (h *hubs) lastChoice(now time.Time) map[string][]member.Info {
-	if last := h.choice.Load(); last != nil && now.Sub(last.at) <= choiceHolds {
+	if last := h.choice.Load(); last != nil && now.Sub(last.at) <= choiceLifetime {
 		return last.hubs
 	}
 	return nil
 }
 
-// choose returns the hubs of each zone, the best first, among this instance and the
-// siblings that live.
+// choose returns the hubs of each zone, the best first. It selects among this instance and the
+// live siblings.
 func (h *hubs) choose(self member.Info, siblings []*member.Sibling, now time.Time) map[string][]member.Info {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -73,8 +74,8 @@
 	}
 	add(self)
 	for _, sibling := range siblings {
-		lives := sibling.State == member.Alive || sibling.State == member.Leaving
-		if lives && !now.Before(h.avoided[sibling.Name]) {
+		live := sibling.State == member.Alive || sibling.State == member.Leaving
+		if live && !now.Before(h.avoided[sibling.Name]) {
 			add(sibling.Info)
 		}
 	}
--- a/edge/hubs.go
+++ b/edge/hubs.go
@@ -11,75 +11,76 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// Up to some tens of instances each sends its state to all others. Beyond that the
-// instances of a zone send theirs to two hubs, the strongest among them, and one of these sends
-// each what all together do, and which of them live; hubs of different zones send each
-// other the sums of their zones. An instance at rest then sends some 24 datagrams and
-// 2.2 KB a second, whether there are 58 instances or 295 (TestManyInstancesTellLittle),
-// where sending to 36 others with each beat was 240 datagrams; and what is known of the
-// others' loads is two beats old at most, where it was 24 with 295 instances.
+// Up to some tens of instances each send their state to all others. With more, the instances of
+// a zone send their state to two hubs, which are the strongest instances of the zone. One of the
+// hubs sends each instance the sums of all commitments and the states of all siblings. Hubs of
+// different zones exchange the sums of their zones. An idle instance then sends about 24
+// datagrams and 2.2 KB a second, with 58 instances as well as with 295
+// (TestManyInstancesSendLittle). Sending to 36 others at each beat took 240 datagrams a second.
+// The loads of the others are at most two beats old. Without hubs they were 24 beats old with
+// 295 instances.
 //
-// Nobody appoints hubs: each instance asks the two best that it knows to live, and
-// one that is asked serves. Different opinions cost some datagrams until they have
-// passed.
+// No instance appoints hubs. Each instance subscribes to the two best hubs among the siblings
+// that it knows to be alive, and an instance that receives a subscription serves it. Differing
+// views cost some extra datagrams until they converge.
 
-// hubs is an instance's part in that, as a member and as a hub.
+// hubs is the state of an instance as a subscriber of hubs and as a hub.
 type hubs struct {
 	config Config
-	// choice is the hubs that were chosen last.
+	// choice holds the hubs that were chosen last.
 	choice atomic.Pointer[choice]
 
 	mu sync.Mutex
-	// subscribers are the instances that this one serves, by name.
+	// subscribers holds the instances that this one serves, by name.
 	subscribers map[string]*subscriber
-	// sources are the hubs that this instance has asked, by name.
+	// sources holds the hubs from which this instance requests digests, by name.
 	sources map[string]*source
-	// avoided holds hubs that stayed silent, and until when they are left alone.
+	// avoided holds the hubs that did not answer, with the time until which they are avoided.
 	avoided map[string]time.Time
-	// sums is what all other instances have committed, by what this one's hub sent
-	// last; nil before.
+	// sums holds the commitments of all other instances, as last sent by this instance's hub. It
+	// is nil before the first digest.
 	sums map[uint32]route.Commitment
-	// zones is what the instances of each other zone have committed.
+	// zones holds the commitments of the instances of each other zone.
 	zones map[string]zoneSum
-	// instances is how many there are, by what a hub said at instancesAt.
-	instances   int
-	instancesAt time.Time
-	// since is from when on this instance has been a hub of its zone; zero if it is
-	// none.
-	since  time.Time
-	ledger *ledger
-	// acknowledge is set when a hub should hear at once how far its account was
-	// taken in.
+	// instanceCount is the number of instances that a hub reported at instanceCountAt.
+	instanceCount   int
+	instanceCountAt time.Time
+	// since is when this instance became a hub of its zone. It is zero if it is not a hub.
+	since     time.Time
+	changeLog *changeLog
+	// acknowledge is set when the hub should learn at once up to where its change log was
+	// applied.
 	acknowledge bool
-	// said is what this instance sent its hubs lately of its own loads.
-	said []saidLoads
-	// zoneParts and allParts are what of sums was sent, and pause is the least time
-	// until the next digests; used by the beat alone.
-	zoneParts, allParts parts
+	// sent holds the loads of this instance that it recently sent to its hubs.
+	sent []sentLoads
+	// zoneDelta and allDelta track which sums were sent. pause is the shortest time until the
+	// next digests. Only the beat uses these fields.
+	zoneDelta, allDelta sumDelta
 	pause               time.Duration
-	// index finds servers for that; used by the beat alone.
+	// index finds the servers of those sums. Only the beat uses it.
 	index *serverIndex
-	// followed is the hub that this instance follows; itself if it is the first.
+	// followed is the hub that this instance follows. It is the instance itself if it is the
+	// best hub.
 	followed string
-	// neededWhole is when this instance last had to know the whole list of servers.
-	neededWhole time.Time
-	// reviewed is when the subscribers' shares were looked at last.
-	reviewed time.Time
-	// notified, greeted and served are when hubs were notified, strangers greeted and
-	// subscribers served last.
-	notified, greeted, served time.Time
+	// fullListNeededAt is when this instance last needed the full list of servers.
+	fullListNeededAt time.Time
+	// lastReview is when the subsets of the subscribers were last checked.
+	lastReview time.Time
+	// lastNotify, lastDiscovery and lastServe are when this instance last sent its state to its
+	// hubs, requested hubs from unknown addresses and served its subscribers.
+	lastNotify, lastDiscovery, lastServe time.Time
 }
 
-// source is a hub that this instance asks.
+// source is a hub from which this instance requests digests.
 type source struct {
 	run operation.Incarnation
-	// heard is when it last answered, or when it was asked first.
-	heard time.Time
-	// seen is up to where its account of siblings was taken in.
+	// lastContact is when the hub last answered, or when this instance first sent it a request.
+	lastContact time.Time
+	// seen is the version up to which the hub's change log was applied.
 	seen uint64
 }
 
-// zoneSum is what a zone's instances have committed.
+// zoneSum holds the commitments of the instances of a zone.
 type zoneSum struct {
 	at    time.Time
 	loads map[uint32]route.Commitment
@@ -88,53 +89,53 @@
 func newHubs(config Config) *hubs {
 	return &hubs{
 		config: config, subscribers: make(map[string]*subscriber), sources: make(map[string]*source),
-		avoided: make(map[string]time.Time), zones: make(map[string]zoneSum), ledger: newLedger(),
+		avoided: make(map[string]time.Time), zones: make(map[string]zoneSum), changeLog: newChangeLog(),
 	}
 }
 
-// follow notes which hub this instance follows, and returns which it did before.
-func (h *hubs) follow(name string) (before string) {
+// setFollowed sets which hub this instance follows and returns the previous one.
+func (h *hubs) setFollowed(name string) (before string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	before, h.followed = h.followed, name
 	return before
 }
 
-// state returns how many instances this one serves, and how long ago its own hubs
-// answered: 0 if it has asked none.
+// state returns how many instances this one serves, and the longest time since one of its own
+// hubs answered. The latter is 0 if there are no such hubs.
 func (h *hubs) state(now time.Time) (serves int, silence time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, source := range h.sources {
-		silence = max(silence, now.Sub(source.heard))
+		silence = max(silence, now.Sub(source.lastContact))
 	}
 	return len(h.subscribers), silence
 }
 
-// ask notes that a hub is asked with this beat, and returns up to where its account
-// was taken in.
-func (h *hubs) ask(hub member.Info, now time.Time) (seen uint64, run operation.Incarnation) {
+// noteRequest records that this beat requests digests from a hub. It returns the version up to
+// which the hub's change log was applied.
+func (h *hubs) noteRequest(hub member.Info, now time.Time) (seen uint64, run operation.Incarnation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	known := h.sources[hub.Name]
 	if known == nil {
-		known = &source{heard: now}
+		known = &source{lastContact: now}
 		h.sources[hub.Name] = known
 	}
 	return known.seen, known.run
 }
 
-// review drops the hubs that are no longer asked, leaves those alone that do not
-// answer, and drops subscribers that no longer ask.
-func (h *hubs) review(asked map[string]bool, now time.Time) (silent []string) {
+// dropSilent drops the hubs that are no longer requested and the subscribers that no longer send
+// requests. It also marks hubs that do not answer as avoided and returns their names.
+func (h *hubs) dropSilent(requested map[string]bool, now time.Time) (silent []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for name, source := range h.sources {
-		if !asked[name] {
+		if !requested[name] {
 			delete(h.sources, name)
 			continue
 		}
-		if now.Sub(source.heard) > h.config.HubSilence {
+		if now.Sub(source.lastContact) > h.config.HubSilence {
 			h.avoided[name] = now.Add(h.config.HubAvoidedFor)
 			delete(h.sources, name)
 			silent = append(silent, name)
@@ -146,34 +147,36 @@
 		}
 	}
 	for name, subscriber := range h.subscribers {
-		if now.Sub(subscriber.heard) > h.config.SubscribedFor {
+		if now.Sub(subscriber.lastContact) > h.config.SubscribedFor {
 			delete(h.subscribers, name)
 		}
 	}
 	return silent
 }
 
-// wholeUnneeded notes whether this instance has to know the whole list of servers, and returns
-// for how long it has not had to.
-func (h *hubs) wholeUnneeded(needed bool, now time.Time) time.Duration {
+// fullListUnneededFor records whether this instance needs the full list of servers. It returns
+// for how long the list has not been needed.
+func (h *hubs) fullListUnneededFor(needed bool, now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if needed {
-		h.neededWhole = now
+		h.fullListNeededAt = now
 	}
-	return now.Sub(h.neededWhole)
+	return now.Sub(h.fullListNeededAt)
 }
 
-// take notes what a hub's digest says of loads, numbers and the account of siblings.
-func (h *hubs) take(message heartbeat.Message, zone string, now time.Time) {
+// applyDigest merges the loads, the number of instances and the version of the change log from a
+// hub's digest.
+func (h *hubs) applyDigest(message heartbeat.Message, zone string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	digest := message.Digest
-	// The own zone's word goes first. Without one any zone's counts: an instance that
-	// only other zones answered took itself for one of few for up to 30 s, kept from its
-	// hubs, and 18 of 59 instances were all it knew (TestANewcomerThatOnlyOtherZonesAnswerIsKnownToAll).
-	if digest.Instances > 0 && (message.From.Zone == zone || now.Sub(h.instancesAt) > h.config.CountHoldsFor) {
-		h.instances, h.instancesAt = digest.Instances, now
+	// Digests from the own zone take precedence. If there is none, a digest from any zone
+	// counts. Without that, an instance that only other zones answered assumed for up to 30 s
+	// that there are few instances, so it used no hubs and knew only 18 of 59 instances
+	// (TestANewInstanceWithSeedsInOtherZonesBecomesKnownToAll).
+	if digest.Instances > 0 && (message.From.Zone == zone || now.Sub(h.instanceCountAt) > h.config.CountHoldsFor) {
+		h.instanceCount, h.instanceCountAt = digest.Instances, now
 	}
 	if digest.Summed {
 		h.sum(digest, message.From.Zone, now)
@@ -182,7 +185,7 @@
 	if source == nil {
 		return
 	}
-	source.heard = now
+	source.lastContact = now
 	if source.run != message.From.Incarnation {
 		source.run, source.seen = message.From.Incarnation, 0
 	}
@@ -192,7 +195,7 @@
 	}
 }
 
-// due says whether something was done last so long ago, and notes that it is done now.
+// due reports whether the given interval has passed since last. If so, it sets last to now.
 func (h *hubs) due(last *time.Time, every time.Duration, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -203,58 +206,58 @@
 	return true
 }
 
-// serve sets whether this instance is a hub of its zone, and returns for how long
-// it has been.
-func (h *hubs) serve(hub bool, now time.Time) time.Duration {
+// setHub sets whether this instance is a hub of its zone and returns for how long it has been
+// one.
+func (h *hubs) setHub(hub bool, now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !hub {
 		h.since = time.Time{}
 		return 0
 	}
-	if h.since.IsZero() || !h.hears(now) {
+	if h.since.IsZero() || !h.connectedLocked(now) {
 		h.since = now
 	}
 	return now.Sub(h.since)
 }
 
-// isHub says whether this instance is a hub of its zone.
+// isHub reports whether this instance is a hub of its zone.
 func (h *hubs) isHub() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.since.IsZero()
 }
 
-// count returns how many instances there are, by what a hub said lately; 0 if none
-// did.
+// count returns the number of instances that a hub recently reported, or 0 if there is no recent
+// report.
 func (h *hubs) count(now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if now.Sub(h.instancesAt) > h.config.CountHoldsFor {
+	if now.Sub(h.instanceCountAt) > h.config.CountHoldsFor {
 		return 0
 	}
-	return h.instances
+	return h.instanceCount
 }
 
-// connected says whether a hub, or a subscriber, was heard lately: this instance is
-// not alone.
+// connected reports whether this instance had recent contact with a hub or has a subscriber.
 func (h *hubs) connected(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.hears(now)
+	return h.connectedLocked(now)
 }
 
-// hears is connected for a caller that holds the lock.
-func (h *hubs) hears(now time.Time) bool {
+// connectedLocked is connected for a caller that holds the lock.
+func (h *hubs) connectedLocked(now time.Time) bool {
 	for _, source := range h.sources {
-		if now.Sub(source.heard) < h.config.HubSilence && source.run != 0 {
+		if now.Sub(source.lastContact) < h.config.HubSilence && source.run != 0 {
 			return true
 		}
 	}
 	return len(h.subscribers) > 0
 }
 
-// takeAcknowledge says whether a hub is to hear at once.
+// takeAcknowledge reports whether the hub should receive an acknowledgement at once, and clears
+// the request for it.
 func (h *hubs) takeAcknowledge() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -263,17 +266,17 @@
 	return due
 }
 
-// account brings the account of siblings up to date. A hub that has not settled speaks
-// only of those that live: the others may not have heard of it.
-func (h *hubs) account(siblings []*member.Sibling, settled bool) {
+// updateLog brings the change log of siblings' states up to date. A hub that has not settled
+// reports only live siblings, since the others may not have learned of it yet.
+func (h *hubs) updateLog(siblings []*member.Sibling, settled bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ledger.update(siblings, settled)
+	h.changeLog.update(siblings, settled)
 }
 
-// lacks returns what a subscriber lacks of the account.
-func (h *hubs) lacks(seen uint64, view *member.View, keep func(member.Sibling) bool, now time.Time) ([]heartbeat.Observation, uint64) {
+// missingChanges returns the changes that a subscriber has not received yet.
+func (h *hubs) missingChanges(seen uint64, view *member.View, keep func(member.Sibling) bool, now time.Time) ([]heartbeat.Observation, uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.ledger.since(seen, view, keep, h.config.StatesAtOnce, now)
+	return h.changeLog.since(seen, view, keep, h.config.StatesAtOnce, now)
 }
--- a/edge/hubs_test.go
+++ b/edge/hubs_test.go
@@ -114,7 +114,7 @@
 		servers.byID[i] = &registry.Entry{}
 		sum[i] = route.Commitment{Memory: 10_000 + int(i)}
 	}
-	var sent parts
+	var sent sumDelta
 	var received map[uint32]route.Commitment
 	send := func(lost bool) int {
 		part := selectLoads(&sent, sum, servers)
@@ -147,7 +147,7 @@
 	}
 }
 
-func selectLoads(p *parts, sum map[uint32]route.Commitment, servers *serverIndex) []heartbeat.Load {
+func selectLoads(p *sumDelta, sum map[uint32]route.Commitment, servers *serverIndex) []heartbeat.Load {
 	part, _ := p.pick(sum, servers, 320, 48)
 	return part
 }
--- a/edge/ledger.go
+++ b/edge/ledger.go
@@ -9,17 +9,17 @@
 	"github.com/mastwheel/mastwheel/operation"
 )
 
-// ledger numbers the changes of siblings' states, so that each subscriber of a hub is
-// sent the ones that it lacks, and only those: 295 whole accounts are 30 KB, too much
+// changeLog numbers the changes of siblings' states, so that a hub sends each subscriber only
+// the changes that it has not received. The states of 295 siblings take 30 KB, which is too much
 // for each beat.
-type ledger struct {
+type changeLog struct {
 	version uint64
 	states  map[string]siblingState
-	// changes names each sibling with the version of its last change, by version.
+	// changes holds each sibling with the version of its last change, ordered by version.
 	changes []stateChange
 }
 
-// siblingState is what digests say of a sibling.
+// siblingState is what digests report of a sibling.
 type siblingState struct {
 	incarnation operation.Incarnation
 	peer        string
@@ -31,15 +31,15 @@
 	version uint64
 }
 
-func newLedger() *ledger { return &ledger{states: make(map[string]siblingState)} }
+func newChangeLog() *changeLog { return &changeLog{states: make(map[string]siblingState)} }
 
-// update takes the states of siblings in: of all, or of those that live.
-func (l *ledger) update(siblings []*member.Sibling, all bool) {
+// update records the states of all siblings, or only of the live ones.
+func (l *changeLog) update(siblings []*member.Sibling, includeAll bool) {
 	changed := make(map[string]bool)
 	for _, sibling := range siblings {
 		now := siblingState{incarnation: sibling.Incarnation, peer: sibling.Peer, state: sibling.State}
-		lives := sibling.State == member.Alive || sibling.State == member.Leaving
-		if sibling.Peer == "" || l.states[sibling.Name] == now || (!all && !lives) {
+		live := sibling.State == member.Alive || sibling.State == member.Leaving
+		if sibling.Peer == "" || l.states[sibling.Name] == now || (!includeAll && !live) {
 			continue
 		}
 		l.states[sibling.Name] = now
@@ -57,13 +57,13 @@
 	}
 }
 
-// since returns some states that changed behind a version, and the version that they
-// lead to. Siblings for which keep is false are passed over.
-func (l *ledger) since(version uint64, view *member.View, keep func(member.Sibling) bool, most int, now time.Time) (states []heartbeat.Observation, upto uint64) {
+// since returns at most the given number of states that changed after a version, and the version
+// that they lead to. Siblings for which keep returns false are skipped.
+func (l *changeLog) since(version uint64, view *member.View, keep func(member.Sibling) bool, limit int, now time.Time) (states []heartbeat.Observation, upto uint64) {
 	first, _ := slices.BinarySearchFunc(l.changes, version+1, func(c stateChange, v uint64) int { return int(c.version) - int(v) })
 	upto = version
 	for _, change := range l.changes[first:] {
-		if len(states) == most {
+		if len(states) == limit {
 			return states, upto
 		}
 		upto = change.version
@@ -75,19 +75,19 @@
 	return states, upto
 }
 
-// repetition repeats the states of siblings in turn, whether they have changed or not, without
-// what does not change. A subscriber may have believed somebody else meanwhile, whose word is
-// not taken back.
+// repetition repeats the states of siblings in turn, whether they have changed or not. It omits
+// the fields that do not change. A subscriber may meanwhile have accepted a state from another
+// sibling, which is not retracted otherwise.
 type repetition struct {
-	zone string
-	most int
-	now  time.Time
-	// all and near are the siblings, and those of the own zone.
+	zone  string
+	limit int
+	now   time.Time
+	// all holds all siblings, and near those of the own zone.
 	all, near []*member.Sibling
 }
 
-func newRepetition(view *member.View, zone string, most int, now time.Time) *repetition {
-	r := &repetition{zone: zone, most: most, now: now, all: make([]*member.Sibling, 0, len(view.Siblings))}
+func newRepetition(view *member.View, zone string, limit int, now time.Time) *repetition {
+	r := &repetition{zone: zone, limit: limit, now: now, all: make([]*member.Sibling, 0, len(view.Siblings))}
 	for _, sibling := range view.Siblings {
 		r.all = append(r.all, sibling)
 		if sibling.Zone == zone {
@@ -97,28 +97,29 @@
 	return r
 }
 
-// keep says which siblings a subscriber is told of: one of another zone of those of this zone.
+// keep returns a filter for the siblings that are reported to a subscriber. A subscriber of
+// another zone receives only the siblings of this zone.
 func (r *repetition) keep(nearOnly bool) func(member.Sibling) bool {
 	return func(sibling member.Sibling) bool { return !nearOnly || sibling.Zone == r.zone }
 }
 
-// next returns the states that are due, and moves the turn on.
+// next returns the states that are due and advances the turn.
 func (r *repetition) next(nearOnly bool, turn *int) []heartbeat.Observation {
 	kept := r.all
 	if nearOnly {
 		kept = r.near
 	}
-	states := make([]heartbeat.Observation, 0, r.most)
-	for i := range min(r.most, len(kept)) {
+	states := make([]heartbeat.Observation, 0, r.limit)
+	for i := range min(r.limit, len(kept)) {
 		sibling := kept[(*turn+i)%len(kept)]
 		info := member.Info{Name: sibling.Name, Incarnation: sibling.Incarnation, Uptime: sibling.Uptime}
 		states = append(states, observationOf(info, *sibling, r.now))
 	}
-	*turn += r.most
+	*turn += r.limit
 	return states
 }
 
-// observationOf is what digests say of a sibling.
+// observationOf returns the observation of a sibling for a digest.
 func observationOf(info member.Info, sibling member.Sibling, now time.Time) heartbeat.Observation {
 	return heartbeat.Observation{Info: info, State: sibling.State, Age: max(now.Sub(sibling.Observed), 0)}
 }
--- a/edge/ledger_test.go
+++ b/edge/ledger_test.go
@@ -19,7 +19,7 @@
 		now := time.Unix(1_800_000_000, 0)
 		hub := member.New(operation.Member{Name: "hub", Incarnation: 1}, DefaultConfig().Members)
 		other := member.New(operation.Member{Name: "other", Incarnation: 1}, DefaultConfig().Members)
-		log, most := newLedger(), rapid.IntRange(1, 5).Draw(t, "at once")
+		log, most := newChangeLog(), rapid.IntRange(1, 5).Draw(t, "at once")
 		everyone := func(member.Sibling) bool { return true }
 		var seen uint64
 		send := func(lost bool) (more bool) {
--- a/edge/listupdates.go
+++ b/edge/listupdates.go
@@ -10,17 +10,19 @@
 	"github.com/mastwheel/mastwheel/subset"
 )
 
-// Changes of the list of backend servers go from those that read them to all.
+// Instances that read changes of the list of backend servers from the store send them to all
+// others.
 
-// sendUpdates passes changes of the list on: where there are hubs to those of the own zone,
-// and from a hub to those that it serves, else to all. One that got them is not sent them
-// again. before is the list as it was.
+// sendUpdates forwards changes of the list. Where there are hubs, it sends them to the hubs of
+// the own zone, and a hub sends them to its subscribers. Otherwise it sends them to all
+// siblings. The sibling from which the changes came does not receive them again. before is the
+// list before the changes.
 func (in *Instance) sendUpdates(updates heartbeat.Updates, before *registry.View, from string) {
 	if len(updates.Changes) == 0 {
 		return
 	}
 	now := clock.Now()
-	all := split(updates, everyChange(updates.Changes), in.config.UpdatesAtMost)
+	all := split(updates, allIndexes(updates.Changes), in.config.UpdatesAtMost)
 	message := in.message(now)
 	if !in.usesHubs() {
 		if from == "" {
@@ -39,7 +41,7 @@
 		switch {
 		case name == from:
 		case to.part:
-			in.sendPieces(message, partOf(updates, old, to.uses, in.config.UpdatesAtMost), to.peer)
+			in.sendPieces(message, updatesForSubset(updates, old, to.uses, in.config.UpdatesAtMost), to.peer)
 		case to.zone == in.config.Zone || len(all) == 1:
 			// Hubs of other zones read the store themselves.
 			in.sendPieces(message, all, to.peer)
@@ -47,7 +49,7 @@
 	}
 }
 
-// sendPieces sends a message with each piece of updates.
+// sendPieces sends one message for each piece of the updates.
 func (in *Instance) sendPieces(message heartbeat.Message, pieces []heartbeat.Updates, addresses ...string) {
 	for i := range pieces {
 		message.Updates = &pieces[i]
@@ -55,17 +57,17 @@
 	}
 }
 
-// everyChange is the places of all changes.
-func everyChange(changes []registry.Change) []int {
-	places := make([]int, len(changes))
-	for i := range places {
-		places[i] = i
+// allIndexes returns the indexes of all changes.
+func allIndexes(changes []registry.Change) []int {
+	indexes := make([]int, len(changes))
+	for i := range indexes {
+		indexes[i] = i
 	}
-	return places
+	return indexes
 }
 
-// entriesBefore finds the entries that changes are of on the list as it was, nil where there was
-// none: once for all to whom a part of the changes is sent.
+// entriesBefore finds the previous entry of each changed server, or nil where there was none. It
+// is called once for all subscribers that receive a subset of the changes.
 func entriesBefore(changes []registry.Change, before *registry.View) []*registry.Entry {
 	entries := make([]*registry.Entry, len(changes))
 	for i, change := range changes {
@@ -76,51 +78,52 @@
 	return entries
 }
 
-// partOf is what of updates concerns a subset: of servers that are in it, or were, by their
-// entries before, or of which it is not known. With nothing of it they only lead on to the next
-// position.
-func partOf(updates heartbeat.Updates, before []*registry.Entry, uses *subset.Subset, atMost int) []heartbeat.Updates {
-	var places []int
+// updatesForSubset returns the updates that concern a subset. These are changes of servers that
+// are in the subset, or were in it by their previous entries, or for which this is not known. If
+// no change concerns the subset, the updates only advance the position.
+func updatesForSubset(updates heartbeat.Updates, before []*registry.Entry, uses *subset.Subset, atMost int) []heartbeat.Updates {
+	var indexes []int
 	for i, change := range updates.Changes {
 		old := before[i]
 		if (old == nil && change.Entry == nil) || (old != nil && holdsEntry(uses, old)) || (change.Entry != nil && holdsEntry(uses, change.Entry)) {
-			places = append(places, i)
+			indexes = append(indexes, i)
 		}
 	}
 	part := updates
 	part.Of = uses.Fingerprint()
-	return split(part, places, atMost)
+	return split(part, indexes, atMost)
 }
 
-// split cuts some changes into pieces that fit into a datagram each; one after the other leads
-// to where all do. That needs a change for each position, and without there is one piece, or
-// none if it were too large: whoever lacks them asks for the list.
-func split(updates heartbeat.Updates, places []int, atMost int) []heartbeat.Updates {
+// split cuts the selected changes into pieces that each fit into a datagram. Applied in order,
+// the pieces lead to the position of all updates. Splitting needs one change for each position.
+// Without that there is a single piece, or none if it would be too large. An instance that
+// misses those changes then requests the list.
+func split(updates heartbeat.Updates, indexes []int, atMost int) []heartbeat.Updates {
 	dense := oplog.Position(len(updates.Changes)) == updates.To-updates.From
-	if len(places) > atMost && !dense {
+	if len(indexes) > atMost && !dense {
 		return nil
 	}
 	var pieces []heartbeat.Updates
 	from := updates.From
 	for start := 0; ; start += atMost {
-		end := min(start+atMost, len(places))
+		end := min(start+atMost, len(indexes))
 		piece := updates
 		piece.From, piece.Changes = from, make([]registry.Change, 0, end-start)
-		for _, place := range places[start:end] {
+		for _, place := range indexes[start:end] {
 			piece.Changes = append(piece.Changes, updates.Changes[place])
 		}
-		if end == len(places) {
+		if end == len(indexes) {
 			return append(pieces, piece)
 		}
-		piece.To = updates.From + oplog.Position(places[end])
+		piece.To = updates.From + oplog.Position(indexes[end])
 		from = piece.To
 		pieces = append(pieces, piece)
 	}
 }
 
-// takeUpdates takes in changes of the list that a sibling passes on, if nothing is missing
-// before them and among them, and passes them on in turn.
-func (in *Instance) takeUpdates(message heartbeat.Message, now time.Time) {
+// applyUpdates applies changes of the list that a sibling forwards, if no change is missing
+// before or among them. It then forwards them in turn.
+func (in *Instance) applyUpdates(message heartbeat.Message, now time.Time) {
 	updates := message.Updates
 	if updates == nil || updates.Age < 0 {
 		return
@@ -134,18 +137,18 @@
 		return
 	}
 	at := now.Add(-updates.Age)
-	// That the store was away must be known before a removal is judged.
-	in.list.hear(at, false)
+	// An outage of the store must be known before a removal is judged.
+	in.list.noteAnswer(at, false)
 	in.registry.Apply(updates.Changes, updates.To, now)
 	in.rebuild()
-	in.list.hear(at, updates.To == in.registry.View().Position)
-	in.list.grew(uint64(have))
+	in.list.noteAnswer(at, updates.To == in.registry.View().Position)
+	in.list.noteProgress(uint64(have))
 	if updates.Of == 0 {
 		in.sendUpdates(*updates, before, message.From.Name)
 	}
 }
 
-// updatesOf is the updates that a poll of the store has brought.
+// updatesOf returns the updates that a poll of the store brought.
 func updatesOf(from, to oplog.Position, changes []registry.Change, at time.Time) heartbeat.Updates {
 	return heartbeat.Updates{From: from, To: to, Changes: changes, Age: max(clock.Since(at), 0)}
 }
--- a/edge/mesh.go
+++ b/edge/mesh.go
@@ -10,20 +10,20 @@
 
 // Up to some tens of instances send each other their state directly.
 
-// meshBeat sends heartbeats to those siblings whose turn it is. Where there are many,
-// each gets only some, and is given more time before it counts as silent; those of the
-// same zone get more, since bytes between zones are dear.
+// meshBeat sends heartbeats to the siblings that are due. With many siblings, each receives
+// fewer heartbeats and is allowed a longer time without contact before it is suspected. Siblings
+// of the same zone receive more, since traffic between zones is expensive.
 func (in *Instance) meshBeat(now time.Time, turn int, loads []heartbeat.Load) {
 	addresses := in.peers.addresses(now)
 	every := max(1, len(addresses)/in.config.FarPerBeat)
-	in.members.SetSuspectAfter(max(in.config.Members.SuspectAfter, time.Duration(every*patientBeats)*in.config.Members.HeartbeatEvery))
+	in.members.SetSuspectAfter(max(in.config.Members.SuspectAfter, time.Duration(every*tolerableLosses)*in.config.Members.HeartbeatEvery))
 	in.members.Watch("")
-	in.sendTo(in.due(addresses, turn, every), addresses, loads)
+	in.sendTo(in.dueAddresses(addresses, turn, every), addresses, loads)
 }
 
-// readsInMesh says whether this instance is one of the few that leave long polls waiting at
-// the store: the others are sent what these are told. All that know the same instances
-// choose the same; one that knows nobody reads.
+// readsInMesh reports whether this instance is one of the few that keep long polls open at the
+// store. The others receive the results from these. All instances that know the same siblings
+// choose the same readers, and an instance that knows no siblings reads itself.
 func (in *Instance) readsInMesh() bool {
 	self, better := in.info(), 0
 	for _, sibling := range in.members.View().Siblings {
@@ -34,12 +34,12 @@
 	return better < in.config.ReadersInMesh
 }
 
-// patientBeats is how many heartbeats may be missing before a sibling counts
-// as silent, where they are rare: datagrams are lost now and then.
-const patientBeats = 4
+// tolerableLosses is how many heartbeats may be missing before a sibling is suspected where
+// heartbeats are rare, since datagrams are lost now and then.
+const tolerableLosses = 4
 
-// due picks the siblings that get a heartbeat in a turn.
-func (in *Instance) due(addresses []string, turn, every int) []string {
+// dueAddresses returns the siblings that receive a heartbeat in a turn.
+func (in *Instance) dueAddresses(addresses []string, turn, every int) []string {
 	if every == 1 {
 		return addresses
 	}
@@ -50,37 +50,37 @@
 		}
 	}
 	nearEvery := max(1, len(near)/in.config.NearPerBeat)
-	var picked []string
+	var selected []string
 	for i, address := range addresses {
 		turns := every
 		if near[address] {
 			turns = nearEvery
 		}
 		if (i+turn)%turns == 0 {
-			picked = append(picked, address)
+			selected = append(selected, address)
 		}
 	}
-	return picked
+	return selected
 }
 
-// sendTo sends a heartbeat with loads and some known addresses.
+// sendTo sends a heartbeat with loads and some of the known addresses.
 func (in *Instance) sendTo(addresses, known []string, loads []heartbeat.Load) {
 	now := clock.Now()
 	message := in.message(now)
 	message.Spent = in.Allotments.Spent(now)
-	message.Loads, message.Peers = loads, in.some(known, in.config.PeersNamed)
+	message.Loads, message.Peers = loads, in.sample(known, in.config.PeersNamed)
 	in.send(message, addresses...)
 }
 
-// some picks so many addresses at most, next to each other from a random one on.
-func (in *Instance) some(addresses []string, most int) []string {
-	if len(addresses) <= most {
+// sample returns at most the given number of addresses, consecutive from a random start.
+func (in *Instance) sample(addresses []string, limit int) []string {
+	if len(addresses) <= limit {
 		return addresses
 	}
 	first := int(in.deps.Random() * float64(len(addresses)))
-	picked := make([]string, 0, most)
-	for i := range most {
-		picked = append(picked, addresses[(first+i)%len(addresses)])
+	selected := make([]string, 0, limit)
+	for i := range limit {
+		selected = append(selected, addresses[(first+i)%len(addresses)])
 	}
-	return picked
+	return selected
 }
--- a/edge/orders.go
+++ b/edge/orders.go
@@ -18,55 +18,55 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// orders gives model engines their roles. One instance at a time may, under a
-// lease; the others only watch.
+// orders assigns roles to model engines. Only the instance that holds the service's lease gives
+// orders. The others only watch.
 type orders struct {
 	*Instance
 	leases map[string]*lease.Candidate // by service
-	// wanted is since when a service's roles have been other than planned.
-	wanted map[string]want
-	// given is the last order that an engine got from here.
-	given map[string]givenOrder
-	// lookAgain is when the lease of a service may be free that another instance held.
-	lookAgain map[string]time.Time
+	// pending holds the needed role change of each service whose roles differ from the plan.
+	pending map[string]pendingChange
+	// sent holds the last order that this instance sent to each engine.
+	sent map[string]sentOrder
+	// retryAt is when the lease of a service that another instance held may be free.
+	retryAt map[string]time.Time
 
 	mu sync.Mutex
-	// built is what the picture of the servers was made of.
-	built picture
+	// built holds the inputs of the current view of the servers.
+	built viewInputs
 }
 
-// want is a change of roles that is wanted.
-type want struct {
+// pendingChange is a role change that a service needs.
+type pendingChange struct {
 	since time.Time
-	// engines is how many there were; others begin the wait anew.
+	// engines is the number of engines. If it changes, the wait starts again.
 	engines int
 }
 
-// givenOrder is an order that may still be under way.
-type givenOrder struct {
+// sentOrder is an order that may still be in progress.
+type sentOrder struct {
 	role string
 	at   time.Time
-	// unreached is set if the engine could not be asked.
+	// unreached is set if the engine's status could not be requested.
 	unreached bool
 }
 
 func newOrders(in *Instance) *orders {
 	return &orders{
 		Instance: in, leases: make(map[string]*lease.Candidate),
-		wanted: make(map[string]want), given: make(map[string]givenOrder), lookAgain: make(map[string]time.Time),
+		pending: make(map[string]pendingChange), sent: make(map[string]sentOrder), retryAt: make(map[string]time.Time),
 	}
 }
 
 const (
-	// orderSettle is added to the time that a change of role takes before an
-	// engine counts as not having carried it out: its entry in the list lags.
-	orderSettle = 3 * time.Second
-	// settleFor is how long the number of engines must stay the same before
-	// roles change: at the start they register one after the other.
-	settleFor = 1500 * time.Millisecond
-	// turnEvery is how much longer each instance waits than the one before it
-	// until it gives an order that is wanted.
-	turnEvery = 2 * time.Second
+	// orderGrace is added to the time that a role change takes before an engine counts as not
+	// having carried it out, since its entry in the list lags behind.
+	orderGrace = 3 * time.Second
+	// settleTime is how long the number of engines must stay the same before roles change, since
+	// engines register one after another at the start.
+	settleTime = 1500 * time.Millisecond
+	// rankDelay is how much longer each instance waits than the one before it until it gives a
+	// pending order.
+	rankDelay = 2 * time.Second
 	// orderTimeout bounds one call to an engine.
 	orderTimeout = 600 * time.Millisecond
 )
@@ -79,38 +79,38 @@
 		}
 		for name, service := range view.Services {
 			if service.Type == table.TypeModel {
-				o.consider(ctx, name, service)
+				o.reconcile(ctx, name, service)
 			}
 		}
 	}
 }
 
-// consider compares a service's roles with the plan, and changes them once the
-// difference has lasted for this instance's turn.
-func (o *orders) consider(ctx context.Context, name string, service *table.ServiceView) {
+// reconcile compares a service's roles with the plan. It orders a change once the difference has
+// lasted for the wait time of this instance's rank.
+func (o *orders) reconcile(ctx context.Context, name string, service *table.ServiceView) {
 	now := clock.Now()
 	change, needed := o.plan(name, service, now)
 	if !needed {
-		delete(o.wanted, name)
+		delete(o.pending, name)
 		return
 	}
 	engines := change.Prefill + change.Decode
-	wanted, waiting := o.wanted[name]
-	if !waiting || wanted.engines != engines {
-		wanted = want{since: now, engines: engines}
-		o.wanted[name] = wanted
+	current, waiting := o.pending[name]
+	if !waiting || current.engines != engines {
+		current = pendingChange{since: now, engines: engines}
+		o.pending[name] = current
 	}
-	if now.Sub(wanted.since) < settleFor+time.Duration(o.turn())*turnEvery || now.Before(o.lookAgain[name]) {
+	if now.Sub(current.since) < settleTime+time.Duration(o.rank())*rankDelay || now.Before(o.retryAt[name]) {
 		return
 	}
-	if err := o.give(ctx, name, change); err != nil {
-		klog.InfoS("Order not given", "service", name, "server", change.Engine, "role", change.Role, "err", err.Error())
+	if err := o.sendOrder(ctx, name, change); err != nil {
+		klog.InfoS("Role order failed", "service", name, "server", change.Engine, "role", change.Role, "err", err.Error())
 	}
 }
 
-// turn is the number of living siblings that know the whole list and come before this
-// instance.
-func (o *orders) turn() int {
+// rank returns the number of live siblings that know the full list and whose names sort before
+// this instance's.
+func (o *orders) rank() int {
 	before := 0
 	for _, sibling := range o.members.View().Siblings {
 		if sibling.State == member.Alive && !sibling.Part && sibling.Name < o.config.Name {
@@ -120,7 +120,7 @@
 	return before
 }
 
-// plan finds the next change of role, if one is needed.
+// plan returns the next role change, and whether one is needed.
 func (o *orders) plan(name string, service *table.ServiceView, now time.Time) (roles.Change, bool) {
 	evacuation := o.evacuation.Load()
 	var engines []roles.Engine
@@ -133,7 +133,7 @@
 		if server := o.Fleet.Server(known.Name); server != nil && server.Pressure.IsLeaving() {
 			continue
 		}
-		if given, ok := o.given[known.Name]; ok && now.Sub(given.at) < service.Engine.Switch+orderSettle {
+		if given, ok := o.sent[known.Name]; ok && now.Sub(given.at) < service.Engine.Switch+orderGrace {
 			if known.Unreached = given.unreached; !given.unreached {
 				known.Ordered = given.role
 			}
@@ -141,25 +141,25 @@
 		engines = append(engines, known)
 	}
 	change, needed := roles.Next(engines, o.config.PrefillShare)
-	if many := max(change.Prefill-change.Want, change.Want-change.Prefill) > fewChanges; needed && many {
+	if many := max(change.Prefill-change.Want, change.Want-change.Prefill) > ungatedChanges; needed && many {
 		return change, o.inDemand(engines, change.Role, now)
 	}
 	return change, needed
 }
 
 const (
-	// fewChanges is how many changes of role are made whether they are needed now or not.
-	// Each is an order, and takes an engine out for seconds: for thousands of engines a
-	// plan that is off by a tenth would be minutes of that.
-	fewChanges = 32
-	// demand is the part of a role's engines that must have something to do for many more
-	// to be given it.
-	demand = 0.25
+	// ungatedChanges is up to how many role changes are made whether there is demand for them
+	// now or not. Each change is an order and takes an engine out of service for seconds. With
+	// thousands of engines, correcting a plan that is off by a tenth would take minutes of that.
+	ungatedChanges = 32
+	// minBusyShare is the share of a role's engines that must be busy before many more engines
+	// receive that role.
+	minBusyShare = 0.25
 )
 
-// inDemand says whether so many engines of a role have work that others should join them.
+// inDemand reports whether so many engines of a role have work that others should join them.
 func (o *orders) inDemand(engines []roles.Engine, role string, now time.Time) bool {
-	others := o.others(now)
+	others := o.siblingCommitments(now)
 	have, busy := 0, 0
 	for _, engine := range engines {
 		if engine.Role != role {
@@ -174,57 +174,57 @@
 			busy++
 		}
 	}
-	return float64(busy) >= demand*float64(have)
+	return float64(busy) >= minBusyShare*float64(have)
 }
 
-// give gives one order under the lease.
-func (o *orders) give(ctx context.Context, service string, change roles.Change) error {
-	candidate, err := o.hold(ctx, service)
+// sendOrder sends one order under the lease.
+func (o *orders) sendOrder(ctx context.Context, service string, change roles.Change) error {
+	candidate, err := o.acquireLease(ctx, service)
 	if err != nil {
 		return err
 	}
 	entry := o.servers.Load().ByRun[change.Engine]
 	if entry == nil {
-		return errors.New("the engine is gone")
+		return errors.New("engine is no longer in the list of servers")
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	var given *RoleOrder
-	lapsed := false
+	var order *RoleOrder
+	expired := false
 	err = o.deps.Engines.SetRole(ctx, entry, func(status EngineStatus) (RoleOrder, bool) {
 		if status.Busy || status.Role == change.Role {
-			o.given[change.Engine] = givenOrder{role: change.Role, at: clock.Now()}
+			o.sent[change.Engine] = sentOrder{role: change.Role, at: clock.Now()}
 			return RoleOrder{}, false
 		}
 		token, valid := candidate.Valid(clock.Now())
-		if lapsed = !valid; lapsed {
+		if expired = !valid; expired {
 			return RoleOrder{}, false
 		}
-		o.given[change.Engine] = givenOrder{role: change.Role, at: clock.Now()}
+		o.sent[change.Engine] = sentOrder{role: change.Role, at: clock.Now()}
 		o.announce(change.Engine, service)
-		given = &RoleOrder{Role: change.Role, Holder: o.config.Name, Token: token, After: status.Sequence}
-		return *given, true
+		order = &RoleOrder{Role: change.Role, Holder: o.config.Name, Token: token, After: status.Sequence}
+		return *order, true
 	})
 	switch {
-	case lapsed:
-		return errors.New("the lease has run out")
-	case given == nil:
+	case expired:
+		return errors.New("lease expired before the order was sent")
+	case order == nil:
 		if err != nil {
-			// The next order is for another engine meanwhile.
-			o.given[change.Engine] = givenOrder{at: clock.Now(), unreached: true}
+			// The next order meanwhile goes to another engine.
+			o.sent[change.Engine] = sentOrder{at: clock.Now(), unreached: true}
 		}
 		return err
 	}
-	klog.InfoS("Order given", "service", service, "server", change.Engine, "role", change.Role, "token", given.Token,
-		"after", given.After, "prefill", change.Prefill, "decode", change.Decode, "wantPrefill", change.Want, "accepted", err == nil)
+	klog.InfoS("Role order sent", "service", service, "server", change.Engine, "role", change.Role, "token", order.Token,
+		"after", order.After, "prefill", change.Prefill, "decode", change.Decode, "wantPrefill", change.Want, "accepted", err == nil)
 	if errors.Is(err, engine.ErrStale) {
 		delete(o.leases, service)
 	}
 	return err
 }
 
-// announce lets this instance and its siblings know that an engine takes no work
-// while it changes its role.
+// announce informs this instance and its siblings that an engine accepts no work while it
+// changes its role.
 func (o *orders) announce(engine, service string) {
 	view := o.Table()
 	if view == nil || view.Services[service] == nil {
@@ -234,16 +234,16 @@
 	if server := o.Fleet.Server(engine); server != nil {
 		server.Changing(until)
 	}
-	o.peers.changes(route.ServerID(engine), until)
+	o.peers.addOwnChange(route.ServerID(engine), until)
 	o.sendHeartbeats()
 }
 
-// hold makes this instance the holder of a service's lease, if it may be.
-func (o *orders) hold(ctx context.Context, service string) (*lease.Candidate, error) {
+// acquireLease makes this instance the holder of a service's lease if possible.
+func (o *orders) acquireLease(ctx context.Context, service string) (*lease.Candidate, error) {
 	now := clock.Now()
 	candidate := o.leases[service]
 	if candidate == nil {
-		holder := o.config.Name + "." + strconv.FormatUint(o.self.Load(), 36)
+		holder := o.config.Name + "." + strconv.FormatUint(o.incarnation.Load(), 36)
 		candidate = lease.NewCandidate(o.config.Lease, service, holder, now)
 		o.leases[service] = candidate
 	}
@@ -257,21 +257,22 @@
 	candidate.Observe(state, clock.Now())
 	claim, due := candidate.Next(clock.Now(), true)
 	if !due {
-		// Each look is a call to the store, which all that want the order make.
-		o.lookAgain[service] = clock.Now().Add(o.config.Lease.TTL)
-		return nil, errors.New("another instance may still hold the lease: " + state.Holder)
+		// Each check is a call to the store, and every instance that wants to give the order
+		// makes it.
+		o.retryAt[service] = clock.Now().Add(o.config.Lease.TTL)
+		return nil, errors.New("lease may still be held by another instance: " + state.Holder)
 	}
 	state, won, err := o.deps.Claims.Claim(ctx, claim, condition)
 	if err != nil {
 		return nil, err
 	}
 	if !won {
-		return nil, errors.New("another instance claimed the lease first")
+		return nil, errors.New("lease was claimed first by another instance")
 	}
 	candidate.Observe(state, clock.Now())
 	klog.InfoS("Lease claimed", "lease", service, "token", state.Token)
 	if _, valid := candidate.Valid(clock.Now()); !valid {
-		return nil, errors.New("the claim came too late")
+		return nil, errors.New("lease expired before the claim was confirmed")
 	}
 	return candidate, nil
 }
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -12,92 +12,92 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// peers holds the addresses to which heartbeats go, and what siblings said of
-// their loads.
+// peers holds the addresses to which heartbeats go and the loads that siblings reported.
 type peers struct {
 	self string
 
 	mu sync.Mutex
-	// heard is when an address was last heard or named; addresses that stay
-	// silent are dropped.
-	heard map[string]time.Time
-	loads map[string][]heartbeat.Load // by sibling's name
-	// changing holds the servers that this instance has ordered to change
-	// their role, with the time when that ends.
-	changing map[uint32]time.Time
-	// heardChanging holds those that others have ordered to.
-	heardChanging map[uint32]time.Time
+	// lastContact is when a message last came from an address, or when it was first named.
+	// Addresses without contact are dropped after a while.
+	lastContact map[string]time.Time
+	loads       map[string][]heartbeat.Load // by sibling's name
+	// ownChanges holds the servers that this instance has ordered to change their roles, with
+	// the time when each change ends.
+	ownChanges map[uint32]time.Time
+	// siblingChanges holds the servers that other instances have ordered to change their roles.
+	siblingChanges map[uint32]time.Time
 }
 
-// forgetPeer is the silence after which no more heartbeats go to an address:
-// longer than any outage that a sibling comes back from at the same address.
-const forgetPeer = time.Minute
+// forgetPeerAfter is the time without contact after which no more heartbeats go to an address.
+// It is longer than any outage from which a sibling returns at the same address.
+const forgetPeerAfter = time.Minute
 
 func newPeers(self string, seeds []string) *peers {
 	p := &peers{
-		self: self, heard: make(map[string]time.Time), loads: make(map[string][]heartbeat.Load),
-		changing: make(map[uint32]time.Time), heardChanging: make(map[uint32]time.Time),
+		self: self, lastContact: make(map[string]time.Time), loads: make(map[string][]heartbeat.Load),
+		ownChanges: make(map[uint32]time.Time), siblingChanges: make(map[uint32]time.Time),
 	}
 	for _, seed := range seeds {
-		p.learn(seed, clock.Now())
+		p.addAddress(seed, clock.Now())
 	}
 	return p
 }
 
-// learn notes an address that was named.
-func (p *peers) learn(address string, now time.Time) {
+// addAddress adds an address that a message or the configuration named.
+func (p *peers) addAddress(address string, now time.Time) {
 	if address == "" || address == p.self {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, known := p.heard[address]; !known {
-		p.heard[address] = now
+	if _, known := p.lastContact[address]; !known {
+		p.lastContact[address] = now
 	}
 }
 
-// take notes what a sibling said.
-func (p *peers) take(message heartbeat.Message, now time.Time) {
+// record records the address and the loads of a sibling's message.
+func (p *peers) record(message heartbeat.Message, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard[message.From.Peer] = now
+	p.lastContact[message.From.Peer] = now
 	if message.Digest == nil && message.Updates == nil {
 		p.loads[message.From.Name] = message.Loads
 	}
 }
 
-// hears notes that a server changes its role until then, as others say.
-func (p *peers) hears(server uint32, until time.Time) {
+// addSiblingChange records that a server changes its role until the given time, as reported by a
+// sibling.
+func (p *peers) addSiblingChange(server uint32, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if until.After(p.heardChanging[server]) {
-		p.heardChanging[server] = until
+	if until.After(p.siblingChanges[server]) {
+		p.siblingChanges[server] = until
 	}
 }
 
-// changes notes that a server changes its role until then.
-func (p *peers) changes(server uint32, until time.Time) {
+// addOwnChange records that a server changes its role until the given time, as ordered by this
+// instance.
+func (p *peers) addOwnChange(server uint32, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.changing[server] = until
+	p.ownChanges[server] = until
 }
 
-// underWay lists the changes of role that this instance has ordered and that are
-// under way.
-func (p *peers) underWay(now time.Time) []heartbeat.Change {
+// ownUnderWay lists the role changes that this instance has ordered and that are in progress.
+func (p *peers) ownUnderWay(now time.Time) []heartbeat.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return changesUnderWay(p.changing, now)
+	return changesUnderWay(p.ownChanges, now)
 }
 
-// allUnderWay lists all changes of role that are under way.
+// allUnderWay lists all role changes that are in progress.
 func (p *peers) allUnderWay(now time.Time) []heartbeat.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append(changesUnderWay(p.changing, now), changesUnderWay(p.heardChanging, now)...)
+	return append(changesUnderWay(p.ownChanges, now), changesUnderWay(p.siblingChanges, now)...)
 }
 
-// changesUnderWay lists changes of role, and drops those that are over.
+// changesUnderWay lists the role changes that are in progress and drops those that are over.
 func changesUnderWay(changing map[uint32]time.Time, now time.Time) []heartbeat.Change {
 	var changes []heartbeat.Change
 	for server, until := range changing {
@@ -110,15 +110,15 @@
 	return changes
 }
 
-// addresses returns where heartbeats go.
+// addresses returns the addresses to which heartbeats go.
 func (p *peers) addresses(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.heard, func(_ string, heard time.Time) bool { return now.Sub(heard) > forgetPeer })
-	return slices.Sorted(maps.Keys(p.heard))
+	maps.DeleteFunc(p.lastContact, func(_ string, contact time.Time) bool { return now.Sub(contact) > forgetPeerAfter })
+	return slices.Sorted(maps.Keys(p.lastContact))
 }
 
-// sum adds up the loads of the siblings that serve.
+// sum adds up the loads of the given siblings.
 func (p *peers) sum(serving []*member.Sibling) map[uint32]route.Commitment {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/edge/poison.go
+++ b/edge/poison.go
@@ -10,24 +10,25 @@
 	"github.com/mastwheel/mastwheel/poison"
 )
 
-// Instances send each other, with their heartbeats, at which servers requests ran when
-// these ended: callers send a request that crashes servers to any instance.
+// With their heartbeats, instances send each other which requests ran at which servers when
+// these crashed. Callers may send a request that crashes servers to any instance.
 
-// takePoison takes in what a sibling says of servers that ended. Hubs, and through them
-// all others, are sent on; where all hear each other, they need not be.
-func (in *Instance) takePoison(message heartbeat.Message, now time.Time) {
+// mergePoison merges what a sibling reports of crashed servers. With hubs, the report is
+// forwarded to the hubs and by them to all others. Without hubs all instances receive it
+// directly.
+func (in *Instance) mergePoison(message heartbeat.Message, now time.Time) {
 	in.Poison.Merge(message.Poison, in.usesHubs(), now)
 }
 
-// missedAfter is the silence after which a sibling may have missed what it was sent: more
-// than two heartbeats to a hub, 300 ms each, and less than the second for which it is sent.
-// A sibling that had been cut off while 60 servers ended would else know of them 16 s
-// later, by what is repeated in turn, and 38 s with 58 instances.
+// missedAfter is the time without contact after which a sibling may have missed updates. It is
+// more than two heartbeats to a hub, which are 300 ms apart, and less than the second for which
+// an update is sent. A sibling that was cut off while 60 servers crashed would otherwise learn
+// of them 16 s later through the repeated states, or 38 s later with 58 instances.
 const missedAfter = 900 * time.Millisecond
 
-// introducePoison sends an instance that has just appeared all that speaks against
-// requests: it may have started anew, and know nothing, or have been cut off.
-func (in *Instance) introducePoison(to member.Info, now time.Time) {
+// sendFullPoison sends all records of suspect requests to an instance that has just appeared. It
+// may have restarted without any records, or have been cut off.
+func (in *Instance) sendFullPoison(to member.Info, now time.Time) {
 	for _, update := range in.Poison.Whole(now) {
 		message := in.message(now)
 		message.Poison = update
@@ -35,8 +36,8 @@
 	}
 }
 
-// logPoison writes a line for each change of what is known of a request.
+// logPoison logs a change of the state of a request.
 func logPoison(change poison.Transition) {
-	klog.InfoS("Request that may crash servers", "fingerprint", change.Request.String(), "before", change.Before, "state", change.State,
+	klog.InfoS("Request that may crash servers changed state", "fingerprint", change.Request.String(), "before", change.Before, "state", change.State,
 		"crashes", change.Crashes, "tied", change.Tied, "probes", change.Probes)
 }
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -11,8 +11,8 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// keepFresh has the store asked beside the long polls that wait there, when nobody has
-// had an answer for a while.
+// keepFresh sends extra polls to the store, besides the open long polls, when no instance has
+// received an answer for a while.
 func (in *Instance) keepFresh(ctx context.Context) {
 	var asking sync.WaitGroup
 	defer asking.Wait()
@@ -26,8 +26,8 @@
 	}
 }
 
-// probePause is the pause until the next look: answers that are fresh need none until they may
-// no longer be. Instances do not look in step.
+// probePause returns the pause until the next check. No check is needed before the last answers
+// may be stale. A random part keeps the instances from checking at the same time.
 func (in *Instance) probePause() time.Duration {
 	due := in.config.FreshFor
 	for _, feed := range in.feeds() {
@@ -45,7 +45,7 @@
 	return due + time.Duration(spread*float64(in.config.ProbeEvery))
 }
 
-// beginProbe notes that the store is polled beside; false if it is already.
+// beginProbe records that an extra poll starts. It returns false if one is already in progress.
 func (f *feed) beginProbe() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,11 +62,11 @@
 	f.probing = false
 }
 
-// probeDue draws whether this instance is the one to ask. Of n instances each
-// asks with a probability of 1/n at its first look, and twice as much at each
-// further one, so that about one asks whoever lives, and one that is cut off from
-// all others still does so itself: 0.9 s later with 62 of them. While many hear each
-// other and none is answered, some probesAtMost ask at each look.
+// probeDue decides at random whether this instance is the one to poll. Each of n instances polls
+// with probability 1/n at its first check and doubles the probability at each further check. So
+// about one instance polls whichever of them are alive, and an instance that is cut off from all
+// others still polls itself, 0.9 s later with 62 instances. While many instances are in contact
+// and none receives an answer, about probesAtMost of them poll at each check.
 func (f *feed) probeDue(now time.Time) bool {
 	last := f.latest()
 	over := now.Sub(last) - f.config.FreshFor
@@ -81,17 +81,18 @@
 }
 
 const (
-	// maxDoublings keeps the doubling within a float's range; by then any number of
-	// instances asks for certain.
+	// maxDoublings keeps the doubling within the range of a float. By then an instance polls
+	// with certainty whatever their number.
 	maxDoublings = 30
-	// probesAtMost is how many of many instances ask at each look while none is
-	// answered. More find the one that the store serves sooner, where it serves few;
-	// each call is priced, and without a bound 295 would make 590 calls a second.
+	// probesAtMost is how many of many instances poll at each check while none receives an
+	// answer. More of them find the instance that the store answers sooner, if it answers only a
+	// few. But each call is billed, and without a bound 295 instances would make 590 calls a
+	// second.
 	probesAtMost = 4
 )
 
-// failing says whether the last poll failed, so that the next is due anyhow, or
-// too early.
+// failing reports whether the last poll failed. In that case the next poll is due anyway, or an
+// extra one would come too early.
 func (f *feed) failing(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,11 +102,11 @@
 	return f.failures > 0 || !f.known
 }
 
-// probe asks for what is new at once, and passes it on to the siblings.
+// probe polls the store for updates at once and forwards them to the siblings.
 func (f *feed) probe(ctx context.Context) {
 	defer f.endProbe()
 	f.probes.Add(1)
-	asked, before := clock.Now(), f.progress()
+	requested, before := clock.Now(), f.progress()
 	f.mu.Lock()
 	known := f.known
 	f.mu.Unlock()
@@ -114,27 +115,27 @@
 		return
 	}
 	if errors.Is(err, errLeftToOthers) {
-		f.learnt()
+		f.markKnown()
 		return
 	}
 	if err != nil {
-		f.failed(clock.Now(), asked, err)
+		f.failed(clock.Now(), requested, err)
 		f.giveUp("another poll failed")
 		return
 	}
 	f.succeeded(known)
 	f.answered(at)
-	f.grew(before)
+	f.noteProgress(before)
 	f.sendHeartbeats()
 }
 
-// grew notes that the belief may have grown since, by other ways than the poll
-// under way.
-func (f *feed) grew(before uint64) {
+// noteProgress records that the feed may have advanced beyond before by other means than the poll
+// in progress.
+func (f *feed) noteProgress(before uint64) {
 	if f.progress() <= before {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.surpassed = clock.Now()
+	f.advancedElsewhere = clock.Now()
 }
--- a/edge/servers.go
+++ b/edge/servers.go
@@ -13,7 +13,7 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// rebuild makes the picture of the servers anew from list, table and evacuated zones, if
+// rebuild rebuilds the view of the servers from the list, the table and the evacuated zones, if
 // any of them has changed.
 func (in *Instance) rebuild() {
 	in.orders.mu.Lock()
@@ -24,23 +24,24 @@
 		return
 	}
 	before := built.list
-	used := usedOf(list, uses)
-	next := build(used, view, evacuation)
+	used := usedServers(list, uses)
+	next := buildServers(used, view, evacuation)
 	in.Fleet.Adopt(&table.View{Backends: backendsOf(next)})
 	in.servers.Store(next)
-	in.boundCold(used, view, clock.Now())
+	in.limitColdServers(used, view, clock.Now())
 	if view != nil && view != built.with {
-		in.takeLimits(view, clock.Now())
+		in.applyLimits(view, clock.Now())
 	}
-	*built = picture{from: list, with: view, without: evacuation, uses: uses, list: used}
+	*built = viewInputs{from: list, with: view, without: evacuation, uses: uses, list: used}
 	logServers(before, used)
 	if in.deps.ServersChanged != nil {
 		in.deps.ServersChanged(used)
 	}
 }
 
-// picture is what the picture of the servers was made of, and list what of that is used.
-type picture struct {
+// viewInputs holds the inputs of the view of the servers. list is the part of the servers in
+// use.
+type viewInputs struct {
 	from    *registry.View
 	with    *table.View
 	without *heartbeat.Evacuation
@@ -48,8 +49,8 @@
 	list    *registry.View
 }
 
-// usedOf cuts a list to what an instance uses.
-func usedOf(list *registry.View, uses *subset.Subset) *registry.View {
+// usedServers returns the part of a list that an instance uses.
+func usedServers(list *registry.View, uses *subset.Subset) *registry.View {
 	if uses == nil || list.Part {
 		return list
 	}
@@ -62,8 +63,9 @@
 	return used
 }
 
-// boundCold has the servers that have just started get only as many requests as they bear.
-func (in *Instance) boundCold(list *registry.View, view *table.View, now time.Time) {
+// limitColdServers limits the requests to servers that have just started to what they can
+// handle.
+func (in *Instance) limitColdServers(list *registry.View, view *table.View, now time.Time) {
 	if view == nil {
 		return
 	}
@@ -78,9 +80,9 @@
 	}
 }
 
-// build sorts the registered servers by service and role. Those of evacuated zones count
-// as leaving.
-func build(list *registry.View, view *table.View, evacuation *heartbeat.Evacuation) *forward.Servers {
+// buildServers groups the registered servers by service and role. Servers of evacuated zones
+// count as draining.
+func buildServers(list *registry.View, view *table.View, evacuation *heartbeat.Evacuation) *forward.Servers {
 	servers := &forward.Servers{
 		Position: list.Position,
 		ByRun:    make(map[string]*registry.Entry, len(list.Servers)),
@@ -111,7 +113,7 @@
 	return servers
 }
 
-// backendOf makes the table's row of a registered server.
+// backendOf returns the table row of a registered server.
 func backendOf(entry *registry.Entry, view *table.View) *table.BackendView {
 	backend := &table.BackendView{
 		Name: entry.Run(), Pool: entry.Service, Role: entry.Role, Address: entry.Address,
@@ -138,7 +140,7 @@
 	return backends
 }
 
-// logServers writes a line for each server that came, changed, lapsed or went.
+// logServers logs each server that appeared, changed, expired or was removed.
 func logServers(before, after *registry.View) {
 	if before == nil {
 		before = &registry.View{}
@@ -149,17 +151,17 @@
 		switch {
 		case old == nil || old.Entry != server.Entry || (old.Lapsed && !server.Lapsed):
 			if old != nil && old.Born != server.Born {
-				klog.InfoS("Server started again; nothing of its run before holds", "server", server.Run(), "before", old.Run(), "position", after.Position)
+				klog.InfoS("Server restarted and the state of its previous run was dropped", "server", server.Run(), "before", old.Run(), "position", after.Position)
 			}
-			klog.InfoS("Server believed", "server", server.Run(), "service", server.Service, "address", server.Address, "zone", server.Zone,
+			klog.InfoS("Server added or updated", "server", server.Run(), "service", server.Service, "address", server.Address, "zone", server.Zone,
 				"role", server.Role, "draining", server.Draining, "position", after.Position)
 		case server.Lapsed && !old.Lapsed:
-			klog.InfoS("Server lapsed; it may come back", "server", server.Run(), "usedForMillis", server.Gone.Sub(after.Read).Milliseconds(), "position", after.Position)
+			klog.InfoS("Server entry expired and may return", "server", server.Run(), "usedForMillis", server.Gone.Sub(after.Read).Milliseconds(), "position", after.Position)
 		}
 	}
 	for i := range before.Servers {
 		if server := &before.Servers[i]; after.Find(server.ID) == nil {
-			klog.InfoS("Server gone", "server", server.Run(), "position", after.Position)
+			klog.InfoS("Server removed", "server", server.Run(), "position", after.Position)
 		}
 	}
 }
--- a/edge/siblings.go
+++ b/edge/siblings.go
@@ -16,34 +16,33 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// followLoads takes in what siblings send of their loads, as often as they may
-// send it.
+// followLoads sums the loads that siblings send, as often as they may send them.
 func (in *Instance) followLoads(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-in.loadsHeard:
+		case <-in.loadsReceived:
 		}
-		// What others send meanwhile is summed with it.
-		if !wait.For(ctx, in.quickBeat()) {
+		// Loads that others send meanwhile are included in the sum.
+		if !wait.For(ctx, in.minBeatPause()) {
 			return
 		}
 		in.sumLoads()
 	}
 }
 
-// hearLoads has what siblings have sent summed anew.
-func (in *Instance) hearLoads() {
+// requestLoadSum makes followLoads sum the loads of siblings again.
+func (in *Instance) requestLoadSum() {
 	select {
-	case in.loadsHeard <- struct{}{}:
+	case in.loadsReceived <- struct{}{}:
 	default:
 	}
 }
 
-// sumLoads notes in each server's state what the siblings have committed there.
+// sumLoads sets the commitments of the siblings in each server's state.
 func (in *Instance) sumLoads() {
-	total := in.others(clock.Now())
+	total := in.siblingCommitments(clock.Now())
 	for id := range in.servers.Load().ByRun {
 		server := in.Fleet.Server(id)
 		if others := total[route.ServerID(id)]; server != nil && server.Others() != others {
@@ -52,27 +51,27 @@
 	}
 }
 
-// others is what the siblings have committed, by server.
-func (in *Instance) others(now time.Time) map[uint32]route.Commitment {
+// siblingCommitments returns the commitments of the siblings by server.
+func (in *Instance) siblingCommitments(now time.Time) map[uint32]route.Commitment {
 	view := in.members.View()
 	if !in.usesHubs() {
 		return in.peers.sum(view.Serving())
 	}
 	if !in.hubs.isHub() {
-		if sums := in.hubs.sumsOf(); sums != nil {
+		if sums := in.hubs.hubSums(); sums != nil {
 			return sums
 		}
 	}
-	total := in.peers.sum(direct(view, in.config.Zone, now, in.config.DirectSilence))
-	addLoads(total, in.hubs.others(now))
+	total := in.peers.sum(directContacts(view, in.config.Zone, now, in.config.DirectSilence))
+	addLoads(total, in.hubs.otherZones(now))
 	return total
 }
 
-// info is what this instance says about itself.
+// info returns what this instance reports about itself.
 func (in *Instance) info() member.Info {
 	info := member.Info{
 		Name:        in.config.Name,
-		Incarnation: operation.Incarnation(in.self.Load()),
+		Incarnation: operation.Incarnation(in.incarnation.Load()),
 		Zone:        in.config.Zone,
 		Caller:      in.config.CallerAddress,
 		Peer:        in.config.SiblingAddress,
@@ -86,7 +85,7 @@
 	return info
 }
 
-// loads lists what this instance has committed, by server.
+// loads lists the commitments of this instance by server.
 func (in *Instance) loads() []heartbeat.Load {
 	var loads []heartbeat.Load
 	for id := range in.servers.Load().ByRun {
@@ -105,107 +104,107 @@
 	return loads
 }
 
-// heard takes a sibling's heartbeat.
-func (in *Instance) heard(message heartbeat.Message) {
-	if message.Known > operation.Incarnation(in.self.Load()) {
-		in.self.Store(uint64(message.Known) + 1)
-		klog.InfoS("A sibling knows a later run of this instance; counting on from it", "incarnation", in.self.Load(), "sibling", message.From.Name)
+// handleMessage handles a sibling's heartbeat.
+func (in *Instance) handleMessage(message heartbeat.Message) {
+	if message.Known > operation.Incarnation(in.incarnation.Load()) {
+		in.incarnation.Store(uint64(message.Known) + 1)
+		klog.InfoS("Incarnation raised above a later one that a sibling knows", "incarnation", in.incarnation.Load(), "sibling", message.From.Name)
 	}
 	now := clock.Now()
 	for _, peer := range message.Peers {
-		in.peers.learn(peer, now)
+		in.peers.addAddress(peer, now)
 	}
 	if message.From.Name == in.config.Name || message.From.Peer == "" {
 		return
 	}
 	before, known := in.members.Find(message.From.Name)
 	if in.members.Heard(message.From, now) {
-		in.take(message, now)
+		in.applyMessage(message, now)
 		in.logSibling(before, known, message.From)
 		if !known || before.Incarnation != message.From.Incarnation || before.Draining != message.From.Draining {
 			in.hurryHub()
 		}
 		if !known || before.Incarnation != message.From.Incarnation || now.Sub(before.Heard) > missedAfter {
-			in.introducePoison(message.From, now)
-			in.introduceBackpressure(message.From, now)
+			in.sendFullPoison(message.From, now)
+			in.sendFullBackpressure(message.From, now)
 		}
 		return
 	}
 	if known && before.Incarnation > message.From.Incarnation {
-		in.correct(message.From, before.Incarnation)
+		in.sendKnownIncarnation(message.From, before.Incarnation)
 	}
 }
 
-// take takes in what a sibling says that counts as heard.
-func (in *Instance) take(message heartbeat.Message, now time.Time) {
-	in.peers.take(message, now)
+// applyMessage applies the contents of a message that is accepted from a sibling.
+func (in *Instance) applyMessage(message heartbeat.Message, now time.Time) {
+	in.peers.record(message, now)
 	if message.Digest == nil || !in.followsHub() {
-		in.hearLoads()
+		in.requestLoadSum()
 	}
 	for _, change := range message.Changing {
 		until := now.Add(min(change.Left, longestChange))
-		in.peers.hears(change.Server, until)
+		in.peers.addSiblingChange(change.Server, until)
 		if server := in.Fleet.ServerByID(change.Server); server != nil {
 			server.Changing(until)
 		}
 	}
-	in.takePoison(message, now)
-	in.takeBackpressure(message, now)
-	in.takeSpent(message, now)
-	in.takeUpdates(message, now)
-	in.takeEvacuation(message)
-	table := hears(in.tableFeed, message.TableHeard, message.From.Revision, now)
-	list := hears(in.list, message.ServersHeard, message.From.Next, now)
+	in.mergePoison(message, now)
+	in.mergeBackpressure(message, now)
+	in.applySpent(message, now)
+	in.applyUpdates(message, now)
+	in.mergeEvacuation(message)
+	table := applyStoreAge(in.tableFeed, message.TableHeard, message.From.Revision, now)
+	list := applyStoreAge(in.list, message.ServersHeard, message.From.Next, now)
 	if table || list || message.From.Revision > in.Revision() {
 		in.hurryHub()
 	}
-	in.heardOfHubs(message, now)
+	in.handleHubMessage(message, now)
 }
 
-// longestChange bounds what is believed of a server's change of role: it takes 6 s
-// (source: the users' sheets).
+// longestChange bounds the duration of a role change that a sibling reports. A role change takes
+// 6 s (source: the users' sheets).
 const longestChange = 30 * time.Second
 
-// hurryHub has a hub send those that it serves at once.
+// hurryHub makes a hub send digests to its subscribers at once.
 func (in *Instance) hurryHub() {
 	if in.usesHubs() && in.hubs.isHub() {
 		in.sendHeartbeats()
 	}
 }
 
-// hears takes in how long ago the store answered a sibling, or someone that it
-// heard of, how far its log went, and returns whether that is an update that others wait
-// for. An answer from the future would keep everyone from asking until then.
-func hears(f *feed, age *time.Duration, progress uint64, now time.Time) bool {
+// applyStoreAge applies how long ago the store answered a sibling, directly or through others,
+// and up to which position of the log. It returns whether that is an update that others wait
+// for. An age in the future would keep all instances from polling until then, so it is ignored.
+func applyStoreAge(f *feed, age *time.Duration, progress uint64, now time.Time) bool {
 	if age == nil || *age < 0 {
 		return false
 	}
 	before := f.latest()
-	f.hear(now.Add(-*age), progress <= f.progress())
+	f.noteAnswer(now.Add(-*age), progress <= f.progress())
 	return f.latest().Sub(before) >= f.config.FreshFor/2
 }
 
-// logSibling writes a line when a sibling appears or changes its state.
+// logSibling logs when a sibling appears or changes its state.
 func (in *Instance) logSibling(before member.Sibling, known bool, now member.Info) {
 	if known && before.Incarnation == now.Incarnation && before.Draining == now.Draining && before.State != member.Suspect {
 		return
 	}
-	klog.InfoS("Sibling heard", "sibling", now.Name, "incarnation", now.Incarnation, "zone", now.Zone,
+	klog.InfoS("Heartbeat received from new or changed sibling", "sibling", now.Name, "incarnation", now.Incarnation, "zone", now.Zone,
 		"before", before.State, "draining", now.Draining, "revision", now.Revision)
 }
 
-// correct sends a sibling that restarted with its clock set back the incarnation under
-// which it is known here.
-func (in *Instance) correct(sibling member.Info, known operation.Incarnation) {
+// sendKnownIncarnation sends a sibling that restarted with its clock set back the incarnation
+// under which this instance knows it.
+func (in *Instance) sendKnownIncarnation(sibling member.Info, known operation.Incarnation) {
 	datagram, err := heartbeat.Encode(heartbeat.Message{From: in.info(), Known: known})
 	if err == nil {
 		err = in.deps.Socket.Send(sibling.Peer, datagram)
 	}
 	if err != nil {
-		klog.InfoS("Sibling not sent its later run", "sibling", sibling.Name, "err", err.Error())
+		klog.InfoS("Failed to send a sibling its later incarnation", "sibling", sibling.Name, "err", err.Error())
 	}
 }
 
-func (in *Instance) strange(err error) {
+func (in *Instance) logDropped(err error) {
 	klog.V(1).InfoS("Datagram dropped", "err", err.Error())
 }
--- a/edge/start.go
+++ b/edge/start.go
@@ -11,13 +11,14 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// Instances that start together would all read the same of the store, each whole: with a
-// thousand of them and ten thousand servers that is gigabytes. Few read, and tell the rest.
+// Instances that start together would all read the same full data from the store. With a
+// thousand instances and ten thousand servers that is gigabytes. So only a few read, and they
+// send the data to the others.
 
-// startLook is the pause between two looks at whether this instance is to read.
-const startLook = 100 * time.Millisecond
+// startCheckEvery is the pause between two checks whether this instance is to read.
+const startCheckEvery = 100 * time.Millisecond
 
-// awaitsOthers says whether this instance leaves the first read to others as yet.
+// awaitsOthers reports whether this instance still leaves the first read to others.
 func (f *feed) awaitsOthers() bool {
 	began := clock.Since(f.started)
 	switch {
@@ -26,29 +27,31 @@
 	case began < f.config.ReaderPatience:
 		return true
 	}
-	return !f.reads.Load()
+	return !f.longPolls.Load()
 }
 
-// errLeftToOthers means that a long list is not read on, for a sibling has told it.
-var errLeftToOthers = errors.New("a sibling has told the list")
+// errLeftToOthers means that the remaining pages of a long list are not read, because a sibling
+// has sent the list.
+var errLeftToOthers = errors.New("list was sent by a sibling")
 
-// readsOn is asked when the list of servers has more pages than the first. It returns nil if
-// this instance is to read them: one that tells others does, once it has heard of its
-// siblings; the others do if nobody tells them for long, some of them at a time.
-func (in *Instance) readsOn(ctx context.Context) error {
+// awaitReadTurn is called when the list of servers has more pages than the first. It returns nil
+// if this instance is to read them. A reader that sends the list to others reads them after it
+// has had time for contact with its siblings. The other instances read them if no sibling sends
+// the list for long, only some of them at a time.
+func (in *Instance) awaitReadTurn(ctx context.Context) error {
 	began, known := clock.Now(), in.registry.View().Position
 	chance := probesAtMost / float64(max(in.Instances(), probesAtMost))
-	for wait.For(ctx, startLook) {
+	for wait.For(ctx, startCheckEvery) {
 		waited := clock.Since(began)
 		switch {
-		case in.registry.View().Position > known && !in.needsWholeNow():
+		case in.registry.View().Position > known && !in.needsFullListNow():
 			return errLeftToOthers
 		case waited < in.config.ReaderPatience && clock.Since(in.started) < 2*in.config.ReaderPatience:
-		case in.reads.Load():
+		case in.longPolls.Load():
 			return nil
 		case waited >= in.config.FirstPatience/2:
 			if in.deps.Random() < chance {
-				klog.InfoS("The whole list is read, since nobody tells it", "waitedMillis", waited.Milliseconds(), "instances", in.Instances())
+				klog.InfoS("Reading the full list because no sibling sent it", "waitedMillis", waited.Milliseconds(), "instances", in.Instances())
 				return nil
 			}
 			chance *= 2
@@ -57,5 +60,5 @@
 	return ctx.Err()
 }
 
-// needsWholeNow says whether this instance has to know the whole list and knows a part.
-func (in *Instance) needsWholeNow() bool { return in.registry.View().Part && in.needsWhole() }
+// needsFullListNow reports whether this instance needs the full list and knows only a subset.
+func (in *Instance) needsFullListNow() bool { return in.registry.View().Part && in.needsFullList() }
--- a/edge/subscribers.go
+++ b/edge/subscribers.go
@@ -9,41 +9,41 @@
 	"github.com/mastwheel/mastwheel/subset"
 )
 
-// What a hub keeps of the instances that it serves.
+// This file holds the state that a hub keeps of the instances that it serves.
 
-// subscriber is an instance that has asked this one.
+// subscriber is an instance that requests digests from this one.
 type subscriber struct {
-	peer  string
-	zone  string
-	seen  uint64
-	heard time.Time
-	// uptime is how long it had run when it was heard last.
+	peer        string
+	zone        string
+	seen        uint64
+	lastContact time.Time
+	// uptime is how long the instance had been running when its last request was sent.
 	uptime time.Duration
-	// part is set if it is to be told of some servers only, those of uses, and outgrown if
-	// it should use others by now.
+	// part is set if the instance receives only the servers of a subset, which is uses. outgrown
+	// is set if it should use another subset by now.
 	part     bool
 	uses     *subset.Subset
 	outgrown bool
-	// told is when it was sent a digest last, and turn whose states it is repeated next;
-	// used by the beat alone.
-	told time.Time
-	turn int
+	// lastDigest is when the instance was last sent a digest, and turn is the sibling whose
+	// state is repeated to it next. Only the beat uses these fields.
+	lastDigest time.Time
+	turn       int
 }
 
-// asked notes that an instance asks this one to be its hub.
-func (h *hubs) asked(message heartbeat.Message, self operation.Incarnation, now time.Time) {
+// subscribe records an instance's request for digests.
+func (h *hubs) subscribe(message heartbeat.Message, self operation.Incarnation, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	seen := message.Seen
 	if message.SeenRun != self {
 		seen = 0
 	}
-	next := &subscriber{peer: message.From.Peer, zone: message.From.Zone, seen: seen, heard: now, uptime: message.From.Uptime, part: message.From.Part}
+	next := &subscriber{peer: message.From.Peer, zone: message.From.Zone, seen: seen, lastContact: now, uptime: message.From.Uptime, part: message.From.Part}
 	before := h.subscribers[message.From.Name]
 	if before == nil {
 		before = new(subscriber)
 	}
-	next.told, next.turn = before.told, before.turn
+	next.lastDigest, next.turn = before.lastDigest, before.turn
 	if next.part {
 		next.uses, next.outgrown = before.uses, before.outgrown
 		if !slices.Equal(before.uses.Shares(), message.Uses) || before.uses == nil {
@@ -53,7 +53,7 @@
 	h.subscribers[message.From.Name] = next
 }
 
-// setOutgrown notes whether a subscriber should use other shares of the servers.
+// setOutgrown sets whether a subscriber should use another subset of the servers.
 func (h *hubs) setOutgrown(name string, outgrown bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,36 +62,36 @@
 	}
 }
 
-// servedNow is a subscriber that may be sent a digest, which is due if it has not been sent
-// one for long.
-type servedNow struct {
+// servedSubscriber is a subscriber that may be sent a digest. A digest is due if the subscriber
+// has not been sent one for long.
+type servedSubscriber struct {
 	subscriber
 	name string
 	due  bool
 }
 
-// toServe returns those that this instance serves. One that is told of some servers only is
-// sent a digest when there is something to tell it, or when one is due.
-func (h *hubs) toServe(now time.Time, every time.Duration, urgent bool) []servedNow {
+// toServe returns the subscribers of this instance. A subscriber that uses a subset of the
+// servers is sent a digest when there are updates for it or when one is due.
+func (h *hubs) toServe(now time.Time, every time.Duration, urgent bool) []servedSubscriber {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	all := make([]servedNow, 0, len(h.subscribers))
+	all := make([]servedSubscriber, 0, len(h.subscribers))
 	for name, one := range h.subscribers {
-		all = append(all, servedNow{subscriber: *one, name: name, due: urgent || now.Sub(one.told) >= every})
+		all = append(all, servedSubscriber{subscriber: *one, name: name, due: urgent || now.Sub(one.lastDigest) >= every})
 	}
 	return all
 }
 
-// told notes that a subscriber is sent a digest, with states up to a turn.
-func (h *hubs) told(name string, turn int, now time.Time) {
+// recordDigest records that a subscriber is sent a digest with states up to a turn.
+func (h *hubs) recordDigest(name string, turn int, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if to := h.subscribers[name]; to != nil {
-		to.told, to.turn = now, turn
+		to.lastDigest, to.turn = now, turn
 	}
 }
 
-// current returns those that this instance serves, by name.
+// current returns the subscribers of this instance by name.
 func (h *hubs) current() map[string]subscriber {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/edge/sums.go
+++ b/edge/sums.go
@@ -12,33 +12,33 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// What all instances together have committed, as hubs and members know it.
+// This file sums the commitments of all instances, as hubs and members know them.
 
-// saidLoads is what an instance sent about its loads when it had run for so long.
-type saidLoads struct {
+// sentLoads holds the loads that an instance sent at the given uptime.
+type sentLoads struct {
 	uptime time.Duration
 	loads  map[uint32]route.Commitment
 }
 
-// mostSaid bounds what is remembered of that: a hub answers within two beats.
-const mostSaid = 32
+// maxSentLoads bounds the sent loads that are kept. A hub answers within two beats.
+const maxSentLoads = 32
 
-// sum takes the loads of a digest in. The caller holds the lock.
+// sum applies the loads of a digest. The caller holds the lock.
 func (h *hubs) sum(digest *heartbeat.Digest, zone string, now time.Time) {
 	encoded, err := heartbeat.DecodeLoads(digest.Loads)
 	if err != nil {
-		klog.InfoS("Sum of loads not taken in", "zone", zone, "err", err.Error())
+		klog.InfoS("Failed to decode a sum of loads", "zone", zone, "err", err.Error())
 		return
 	}
 	if digest.Zone {
 		h.zones[zone] = zoneSum{at: now, loads: merged(h.zones[zone].loads, encoded, nil)}
 		return
 	}
-	h.sums = merged(h.sums, encoded, h.saidAt(digest.Echo))
+	h.sums = merged(h.sums, encoded, h.sentBy(digest.Echo))
 }
 
-// merged returns sums with a newer part of them in place of what they held, less what
-// the receiver itself has sent.
+// merged returns sums with newer values for some servers, less what the receiver itself has
+// sent.
 func merged(sums map[uint32]route.Commitment, part []heartbeat.Load, own map[uint32]route.Commitment) map[uint32]route.Commitment {
 	next := make(map[uint32]route.Commitment, len(sums)+len(part))
 	maps.Copy(next, sums)
@@ -53,17 +53,18 @@
 	return next
 }
 
-// parts picks what of a sum a digest holds: what has changed, and a few others in turn,
-// for those whose datagram was lost or who have just come. With 3,000 engines a whole
-// sum is 57 KB, thirteen times a second to each.
-type parts struct {
+// sumDelta selects which servers of a sum a digest holds. These are the servers whose sums have
+// changed, and a few others in turn for subscribers that lost a datagram or have just
+// subscribed. With 3,000 engines a full sum is 57 KB, and each subscriber would receive it
+// thirteen times a second.
+type sumDelta struct {
 	sent map[uint32]route.Commitment
 	next int
 }
 
-// pick returns the part of a sum over servers that is due: what has changed, so many servers of
-// it, and then some in turn. Servers that are not on the list are left out.
-func (p *parts) pick(sum map[uint32]route.Commitment, servers *serverIndex, changedAtMost, inTurn int) (due []heartbeat.Load, changed int) {
+// pick returns the loads of a sum that are due. First come changed servers up to a limit, then
+// some servers in turn. Servers that are not on the list are left out.
+func (p *sumDelta) pick(sum map[uint32]route.Commitment, servers *serverIndex, changedAtMost, inTurn int) (due []heartbeat.Load, changed int) {
 	if p.sent == nil {
 		p.sent = make(map[uint32]route.Commitment)
 	}
@@ -89,7 +90,7 @@
 	}
 	changed = len(due)
 	for i := range turned {
-		// It begins where it ended, so that none waits for ever.
+		// Each turn starts where the last one ended, so that every server has its turn.
 		server := servers.ids[(p.next+i)%len(servers.ids)]
 		add(server, sum[server])
 	}
@@ -97,36 +98,36 @@
 	return due, changed
 }
 
-// differ says whether others would decide otherwise by a commitment than by the one
-// before.
+// differ reports whether others would decide differently by a commitment than by the previous
+// one.
 func differ(before, now route.Commitment) bool {
 	off := now.Memory - before.Memory
-	return before.InFlight != now.InFlight || before.Unread != now.Unread || off >= changedMemory || off <= -changedMemory
+	return before.InFlight != now.InFlight || before.Unread != now.Unread || off >= urgentMemoryChange || off <= -urgentMemoryChange
 }
 
-// say remembers what is sent of this instance's own loads.
-func (h *hubs) say(uptime time.Duration, loads []heartbeat.Load) {
+// recordSent records the loads of this instance that are sent to its hubs.
+func (h *hubs) recordSent(uptime time.Duration, loads []heartbeat.Load) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.said = append(h.said, saidLoads{uptime: uptime, loads: commitments(loads)})
-	if len(h.said) > mostSaid {
-		h.said = slices.Delete(h.said, 0, len(h.said)-mostSaid)
+	h.sent = append(h.sent, sentLoads{uptime: uptime, loads: commitments(loads)})
+	if len(h.sent) > maxSentLoads {
+		h.sent = slices.Delete(h.sent, 0, len(h.sent)-maxSentLoads)
 	}
 }
 
-// saidAt is what this instance had sent last of its own loads when it had run for so
-// long. The caller holds the lock.
-func (h *hubs) saidAt(uptime time.Duration) map[uint32]route.Commitment {
-	for _, said := range slices.Backward(h.said) {
-		if said.uptime <= uptime {
-			return said.loads
+// sentBy returns the loads that this instance had last sent by the given uptime. The caller
+// holds the lock.
+func (h *hubs) sentBy(uptime time.Duration) map[uint32]route.Commitment {
+	for _, sent := range slices.Backward(h.sent) {
+		if sent.uptime <= uptime {
+			return sent.loads
 		}
 	}
 	return nil
 }
 
-// others returns what the other zones have committed.
-func (h *hubs) others(now time.Time) map[uint32]route.Commitment {
+// otherZones returns the commitments of the other zones.
+func (h *hubs) otherZones(now time.Time) map[uint32]route.Commitment {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	total := make(map[uint32]route.Commitment)
@@ -140,27 +141,27 @@
 	return total
 }
 
-// heardZones returns the other zones whose hub was heard lately.
-func (h *hubs) heardZones(now time.Time) map[string]bool {
+// zonesInContact returns the other zones, with whether their hub was recently in contact.
+func (h *hubs) zonesInContact(now time.Time) map[string]bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	heard := make(map[string]bool, len(h.zones))
+	inContact := make(map[string]bool, len(h.zones))
 	for zone, sum := range h.zones {
-		heard[zone] = now.Sub(sum.at) <= h.config.DirectSilence
+		inContact[zone] = now.Sub(sum.at) <= h.config.DirectSilence
 	}
-	return heard
+	return inContact
 }
 
-// addLoads adds up commitments by server.
+// addLoads adds the commitments of more to total by server.
 func addLoads(total, more map[uint32]route.Commitment) {
 	for server, load := range more {
 		total[server] = total[server].Add(load)
 	}
 }
 
-// sumsOf returns what all other instances have committed, by what the hub of a member
-// sent last; nil before.
-func (h *hubs) sumsOf() map[uint32]route.Commitment {
+// hubSums returns the commitments of all other instances as last sent by the hub of a member. It
+// is nil before the first digest.
+func (h *hubs) hubSums() map[uint32]route.Commitment {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.sums
@@ -173,7 +174,7 @@
 	byID map[uint32]*registry.Entry
 }
 
-// index is the index of the list as it is; used by the beat alone.
+// index returns the index of the current list. Only the beat uses it.
 func (in *Instance) index() *serverIndex {
 	list := in.registry.View()
 	if known := in.hubs.index; known != nil && known.of == list {
@@ -191,7 +192,7 @@
 	return made
 }
 
-// sums is what is due of the sum of a zone, and of that of all.
+// sums holds the loads that are due of the sum of a zone and of the sum of all instances.
 type sums struct {
 	servers     *serverIndex
 	all         []heartbeat.Load
@@ -200,20 +201,21 @@
 	allEncoded  heartbeat.EncodedLoads
 }
 
-// dueSums picks what is due, and encodes it once for the many to whom it goes whole.
+// dueSums selects the loads that are due. It encodes them once for the many subscribers that
+// receive all of them.
 func (in *Instance) dueSums(zone, total map[uint32]route.Commitment) (due sums, err error) {
 	due.servers = in.index()
-	due.all, due.changed = in.hubs.allParts.pick(total, due.servers, in.config.LoadsAtOnce, in.config.LoadsInTurn)
+	due.all, due.changed = in.hubs.allDelta.pick(total, due.servers, in.config.LoadsAtOnce, in.config.LoadsInTurn)
 	if due.allEncoded, err = heartbeat.EncodeLoads(due.all); err != nil {
 		return due, err
 	}
-	ofZone, _ := in.hubs.zoneParts.pick(zone, due.servers, in.config.LoadsAtOnce, in.config.LoadsInTurn)
+	ofZone, _ := in.hubs.zoneDelta.pick(zone, due.servers, in.config.LoadsAtOnce, in.config.LoadsInTurn)
 	due.zoneEncoded, err = heartbeat.EncodeLoads(ofZone)
 	return due, err
 }
 
-// of is what is due for one that this instance serves, and whether that is more than what is
-// repeated in turn.
+// of returns the loads that are due for a subscriber. some reports whether they hold more than
+// the servers that are repeated in turn.
 func (s *sums) of(to subscriber, zone bool) (loads heartbeat.EncodedLoads, some bool, err error) {
 	switch {
 	case zone:
@@ -232,7 +234,7 @@
 	return loads, some, err
 }
 
-// commitments sorts loads by server.
+// commitments indexes loads by server.
 func commitments(loads []heartbeat.Load) map[uint32]route.Commitment {
 	sorted := make(map[uint32]route.Commitment, len(loads))
 	for _, load := range loads {
--- a/edge/suspended_test.go
+++ b/edge/suspended_test.go
@@ -38,7 +38,7 @@
 		in := bareInstance("a", new(claims), engines)
 		in.deps.Engines = suspendedEngines{engines, t}
 		in.readEngines(engines)
-		err := in.orders.give(context.Background(), "model", roles.Change{Engine: "p0", Role: table.RoleDecode})
+		err := in.orders.sendOrder(context.Background(), "model", roles.Change{Engine: "p0", Role: table.RoleDecode})
 		if err == nil || engines.hasOrderFrom("a") {
 			t.Errorf("an order was given under an expired lease: %v", err)
 		}
--- a/edge/teams.go
+++ b/edge/teams.go
@@ -8,17 +8,17 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// What teams may use is bounded over all instances (package allotment). Here it is
-// decided whom an instance hears for that, and how much it may hand out by it.
+// Limits on teams apply to all instances together (package allotment). This file decides which
+// instances count as in contact for that, and which share of the limits this instance may grant.
 
-// slackUsed is the part of what the users tolerate beyond a team's burst that teams may
-// use at once. The other part is for what instances admit before they hear of each other:
-// some 130,000 tokens where a team of 213,000 a second asks for four times that, beside
-// which a tenth of the bound is tolerated too.
+// slackUsed is the share of the tolerated excess over a team's burst that teams may use at once.
+// The rest covers what instances admit before they receive each other's updates. That is about
+// 130,000 tokens where a team with 213,000 tokens a second requests four times that rate. An
+// excess of a tenth of the bound is tolerated in addition.
 const slackUsed = 0.5
 
-// takeLimits has the ledger go by the limits of a table.
-func (in *Instance) takeLimits(view *table.View, now time.Time) {
+// applyLimits applies the team limits of a table to the ledger.
+func (in *Instance) applyLimits(view *table.View, now time.Time) {
 	limits := make(map[string]allotment.Limit)
 	for name, team := range view.Teams {
 		if team.Allotment.Rate > 0 {
@@ -28,7 +28,7 @@
 	in.Allotments.SetLimits(limits, now)
 }
 
-// forgetSiblings drops what was followed of siblings that are not known any more.
+// forgetSiblings drops the records of siblings that are no longer known.
 func (in *Instance) forgetSiblings() {
 	view := in.members.View()
 	in.Allotments.Forget(func(sibling string) bool {
@@ -37,9 +37,9 @@
 	})
 }
 
-// takeSpent takes in what a sibling says that teams have used. The members of a zone send
-// it to their hubs, and where there are no hubs all send it to each other.
-func (in *Instance) takeSpent(message heartbeat.Message, now time.Time) {
+// applySpent applies a sibling's report of what teams have used. The members of a zone send it
+// to their hubs. Where there are no hubs, all instances send it to each other.
+func (in *Instance) applySpent(message heartbeat.Message, now time.Time) {
 	from := message.From
 	if len(message.Spent) > 0 {
 		in.Allotments.Heard(from.Name, uint64(from.Incarnation), message.Spent, from.Zone == in.config.Zone, now)
@@ -52,36 +52,38 @@
 	default:
 		next := in.adopted.Load().next(now)
 		in.adopted.Store(&next)
-		word := allotment.Word{Levels: digest.Teams, Known: in.started.Add(digest.Echo)}
+		update := allotment.Word{Levels: digest.Teams, Known: in.started.Add(digest.Echo)}
 		if in.followsHub() {
-			word.Due = now.Add(next.pause(in.config.HubBeatEvery))
+			update.Due = now.Add(next.pause(in.config.HubBeatEvery))
 		}
-		in.Allotments.Adopt(word, now)
+		in.Allotments.Adopt(update, now)
 	}
 }
 
-// adoption is when an instance took the word of its hub last, and how long apart it did so
-// at the most of late. A hub of many members and servers sends digests less often: with 100 members
-// and 3,000 servers each 0.4 s, and a member that took that for silence would go back and
-// forth between the whole rate and its own part.
+// adoption holds when an instance last adopted an update from its hub, and the longest recent
+// interval between two adoptions. A hub of many members and servers sends digests less often.
+// With 100 members and 3,000 servers it sends one each 0.4 s. A member that took such an
+// interval for silence would alternate between the full rate and its own share.
 type adoption struct {
 	at      time.Time
 	longest time.Duration
 }
 
 const (
-	// adoptionMemory is over about how many digests the longest pause is remembered: urgent
-	// ones come between the others. By the mean pause the next word seems late though it is
-	// not, and a team that asks for 0.8 of its rate is served 0.94 of that, for all of it
-	// (TestATeamIsServedWhereDigestsAreRare). missedDigests is how many may be missing:
-	// datagrams are lost now and then.
+	// adoptionMemory is over about how many digests the longest interval is remembered, since
+	// urgent digests come between the others. By the mean interval the next update would seem
+	// late although it is not. A team that requests 0.8 of its rate would then be served 0.94 of
+	// that, and with the longest interval it is served all of it
+	// (TestATeamIsServedWhereDigestsAreRare). missedDigests is how many digests may be missing,
+	// since datagrams are lost now and then.
 	adoptionMemory = 16
 	missedDigests  = 2
-	// longestAdoption bounds that: after an outage it says nothing of the pauses.
+	// longestAdoption bounds the interval, since the interval after an outage does not reflect
+	// the usual pauses.
 	longestAdoption = 400 * time.Millisecond
 )
 
-// next is the adoption after one at a moment.
+// next returns the adoption that follows a at the given time.
 func (a *adoption) next(now time.Time) adoption {
 	if a == nil {
 		return adoption{at: now}
@@ -90,59 +92,58 @@
 	return adoption{at: now, longest: max(gap, a.longest-a.longest/adoptionMemory)}
 }
 
-// lateDigest is how much longer than the longest pause of late the next one may be.
+// lateDigest is by which factor the next pause may exceed the longest recent one.
 const lateDigest = 1.2
 
-// pause is until when the next digest should have come. Its least is that of hubs with
-// little to send.
+// pause returns the time within which the next digest should arrive. Its minimum is the pause of
+// hubs with little to send.
 func (a *adoption) pause(least time.Duration) time.Duration {
 	return time.Duration(lateDigest * float64(max(least, a.longest)))
 }
 
-// fresh says whether the hub's word still counts.
+// fresh reports whether the last update of the hub still counts.
 func (a *adoption) fresh(now time.Time, least time.Duration) bool {
 	return a != nil && now.Sub(a.at) <= max(least, missedDigests*a.longest)
 }
 
-// shareAllotments sets how much of what teams may use this instance hands out by what it
-// hears. Those that it does not hear, and that live as far as it knows, may hand out
-// their own part meanwhile.
+// shareAllotments sets the share of the team limits that this instance grants. Siblings that are
+// known to be alive but are not in contact may meanwhile grant their own shares.
 func (in *Instance) shareAllotments(now time.Time) {
 	if in.followsHub() {
 		in.Allotments.SetShare(in.followedShare(now), now)
 		return
 	}
 	in.Allotments.DropWord(now)
-	in.Allotments.SetShare(in.heardShare(now), now)
+	in.Allotments.SetShare(in.contactShare(now), now)
 }
 
-// followsHub says whether this instance learns from a hub what teams have left.
+// followsHub reports whether this instance learns the balances of teams from a hub.
 func (in *Instance) followsHub() bool { return in.usesHubs() && !in.hubs.isHub() }
 
-// followedShare is the share of an instance that goes by its hub's word: all of it while
-// that counts, its own part later.
+// followedShare returns the share of an instance that follows a hub. It is the full limit while
+// the hub's update is fresh, and the instance's own share after that.
 func (in *Instance) followedShare(now time.Time) float64 {
 	if in.adopted.Load().fresh(now, in.config.AllotmentFresh) {
 		return 1
 	}
-	return 1 / float64(in.sharing(now))
+	return 1 / float64(in.budgetInstances(now))
 }
 
-// heardShare is the share of an instance that hears others itself: the part of all
-// instances that it hears, or whose zone's hub it does.
-func (in *Instance) heardShare(now time.Time) float64 {
+// contactShare returns the share of an instance that receives other instances' reports itself.
+// It is the share of all instances that are in direct contact or belong to a zone whose hub is.
+func (in *Instance) contactShare(now time.Time) float64 {
 	hubs := in.usesHubs()
-	heard := 1
-	fresh := in.hubs.heardZones(now)
+	inContact := 1
+	fresh := in.hubs.zonesInContact(now)
 	for _, sibling := range in.members.View().Siblings {
 		switch {
 		case hubs && sibling.Zone != in.config.Zone:
 			if fresh[sibling.Zone] {
-				heard++
+				inContact++
 			}
 		case now.Sub(sibling.Heard) <= in.config.DirectSilence:
-			heard++
+			inContact++
 		}
 	}
-	return min(float64(heard)/float64(in.sharing(now)), 1)
+	return min(float64(inContact)/float64(in.budgetInstances(now)), 1)
 }
--- a/edge/updates_test.go
+++ b/edge/updates_test.go
@@ -72,7 +72,7 @@
 		var engine string
 		for engine = range in.servers.Load().ByRun {
 		}
-		in.heard(heartbeat.Message{
+		in.handleMessage(heartbeat.Message{
 			From:  member.Info{Name: "b", Incarnation: 1, Peer: "127.0.0.1:1"},
 			Loads: []heartbeat.Load{{Server: route.ServerID(engine), InFlight: 1, Memory: 7000}},
 		})
@@ -99,7 +99,7 @@
 		var engine string
 		for engine = range in.servers.Load().ByRun {
 		}
-		in.heard(heartbeat.Message{
+		in.handleMessage(heartbeat.Message{
 			From:  member.Info{Name: "b", Incarnation: 1, Peer: "127.0.0.1:1"},
 			Loads: []heartbeat.Load{{Server: route.ServerID(engine), Memory: 7000}},
 		})
--- a/edge/uses.go
+++ b/edge/uses.go
@@ -11,11 +11,11 @@
 	"github.com/mastwheel/mastwheel/subset"
 )
 
-// Where there are many servers, an instance uses a part of them (package subset) and knows no
-// others: each server costs memory, and a look at each decision. Hubs know the whole list:
-// they give the others their parts, and tell them the changes of these.
+// Where there are many servers, an instance uses a subset of them (package subset) and knows no
+// others, since each server costs memory and a check at each decision. Hubs know the full list.
+// They send the others their subsets and the changes of these.
 
-// countedList is a census of the servers on a list.
+// countedList is a list with the census of its servers.
 type countedList struct {
 	of     *registry.View
 	census *subset.Census
@@ -23,21 +23,21 @@
 
 // census counts the servers of a list.
 func (in *Instance) census(list *registry.View) *subset.Census {
-	if counted := in.counted.Load(); counted != nil && counted.of == list {
+	if counted := in.listCensus.Load(); counted != nil && counted.of == list {
 		return counted.census
 	}
 	census := subset.NewCensus()
 	for i := range list.Servers {
 		census.Add(list.Servers[i].Service, list.Servers[i].Zone)
 	}
-	in.counted.Store(&countedList{of: list, census: census})
+	in.listCensus.Store(&countedList{of: list, census: census})
 	return census
 }
 
 // Known counts the servers that this instance knows, whether it uses them or not.
 func (in *Instance) Known() int { return len(in.registry.View().Servers) }
 
-// instancesByZone counts the instances that serve, as far as is known.
+// instancesByZone counts the known live instances by zone.
 func (in *Instance) instancesByZone() map[string]int {
 	counts := map[string]int{in.config.Zone: 1}
 	for _, sibling := range in.members.View().Siblings {
@@ -48,90 +48,91 @@
 	return counts
 }
 
-// wouldUse is what an instance would use by a whole list, if there are so many in its zone;
-// nil for all servers.
-func (in *Instance) wouldUse(name, zone string, list *registry.View, near int) *subset.Subset {
+// subsetFor returns the subset of a full list that an instance should use, given the number of
+// instances in its zone. It returns nil for all servers.
+func (in *Instance) subsetFor(name, zone string, list *registry.View, near int) *subset.Subset {
 	if !in.usesHubs() {
 		return nil
 	}
 	return in.config.Subset.Of(name, zone, in.census(list), subset.Instances{All: in.Instances(), Near: near})
 }
 
-// holdsEntry says whether the server of an entry is in a subset.
+// holdsEntry reports whether the server of an entry is in a subset.
 func holdsEntry(uses *subset.Subset, entry *registry.Entry) bool {
 	return uses.Holds(entry.ID, entry.Service, entry.Zone)
 }
 
-// keepsOf is the filter of a registry that keeps a subset.
-func keepsOf(uses *subset.Subset) func(*registry.Entry) bool {
+// subsetFilter returns the registry filter that keeps the servers of a subset.
+func subsetFilter(uses *subset.Subset) func(*registry.Entry) bool {
 	if uses == nil {
 		return nil
 	}
 	return func(entry *registry.Entry) bool { return holdsEntry(uses, entry) }
 }
 
-// needsWhole says whether this instance has to know the whole list.
-func (in *Instance) needsWhole() bool { return !in.usesHubs() || in.hubs.isHub() }
+// needsFullList reports whether this instance needs the full list.
+func (in *Instance) needsFullList() bool { return !in.usesHubs() || in.hubs.isHub() }
 
-// reviewUses decides which servers this instance uses, as long as it knows them all, and
-// drops the others from the list if nobody needs them here.
-func (in *Instance) reviewUses(now time.Time) {
+// reviewSubset decides which servers this instance uses while it knows all of them. It drops the
+// others from the list once the full list is no longer needed here.
+func (in *Instance) reviewSubset(now time.Time) {
 	list := in.registry.View()
 	if list.Part {
 		return
 	}
 	uses := in.uses.Load()
-	wanted := in.wouldUse(in.config.Name, in.config.Zone, list, in.instancesByZone()[in.config.Zone])
+	wanted := in.subsetFor(in.config.Name, in.config.Zone, list, in.instancesByZone()[in.config.Zone])
 	if !in.config.Subset.Fits(uses, wanted, in.census(list)) {
-		in.use(wanted, "the whole list")
+		in.setSubset(wanted, "the full list")
 		uses = wanted
 	}
-	if unneeded := in.hubs.wholeUnneeded(in.needsWhole(), now); uses != nil && unneeded > in.config.WholeFor {
-		in.registry.Keep(keepsOf(uses))
+	if unneeded := in.hubs.fullListUnneededFor(in.needsFullList(), now); uses != nil && unneeded > in.config.WholeFor {
+		in.registry.Keep(subsetFilter(uses))
 		in.rebuild()
 	}
 }
 
-// use changes which servers this instance uses.
-func (in *Instance) use(uses *subset.Subset, by string) {
+// setSubset changes the subset that this instance uses.
+func (in *Instance) setSubset(uses *subset.Subset, by string) {
 	in.uses.Store(uses)
 	in.rebuild()
-	klog.InfoS("Servers used", "all", uses == nil, "shares", uses.Shares(), "by", by,
+	klog.InfoS("Subset of servers changed", "all", uses == nil, "shares", uses.Shares(), "by", by,
 		"servers", len(in.servers.Load().ByRun), "known", len(in.registry.View().Servers), "position", in.registry.View().Position)
 }
 
-// takeList takes in a list that a sibling has sent: all servers, or those that this instance
-// is to use.
-func (in *Instance) takeList(snapshot *Snapshot, from string) {
+// applyList applies a list that a sibling has sent. It holds all servers, or the subset that
+// this instance is to use.
+func (in *Instance) applyList(snapshot *Snapshot, from string) {
 	var uses *subset.Subset
 	if snapshot.Part {
 		uses = subset.New(in.config.Name, in.config.Zone, snapshot.Shares)
 	}
-	if !in.registry.Take(*snapshot.Servers, keepsOf(uses), clock.Now()) {
+	if !in.registry.Take(*snapshot.Servers, subsetFilter(uses), clock.Now()) {
 		return
 	}
 	in.outgrown.Store(nil)
 	if snapshot.Part {
-		in.use(uses, from)
+		in.setSubset(uses, from)
 	} else {
 		in.rebuild()
-		in.reviewUses(clock.Now())
+		in.reviewSubset(clock.Now())
 	}
-	klog.InfoS("List of servers taken from a sibling", "sibling", from, "position", snapshot.Servers.Position, "part", snapshot.Part,
+	klog.InfoS("List of servers received from a sibling", "sibling", from, "position", snapshot.Servers.Position, "part", snapshot.Part,
 		"servers", len(snapshot.Servers.Entries))
 }
 
-// partFor cuts the whole list to what an instance uses, and says which shares these are.
-func (in *Instance) partFor(have Have, list *registry.View) Snapshot {
+// subsetSnapshot returns the subset of the full list that an instance uses, with the shares that
+// form it.
+func (in *Instance) subsetSnapshot(have Have, list *registry.View) Snapshot {
 	servers := list.Snapshot()
 	snapshot := Snapshot{Servers: &servers}
 	if have.Whole {
 		return snapshot
 	}
-	uses := in.wouldUse(have.Name, have.Zone, list, in.instancesByZone()[have.Zone])
-	stated := subset.New(have.Name, have.Zone, have.Uses)
-	if uses != nil && len(have.Uses) > 0 && in.config.Subset.Fits(stated, uses, in.census(list)) {
-		uses = stated
+	uses := in.subsetFor(have.Name, have.Zone, list, in.instancesByZone()[have.Zone])
+	reported := subset.New(have.Name, have.Zone, have.Uses)
+	if uses != nil && len(have.Uses) > 0 && in.config.Subset.Fits(reported, uses, in.census(list)) {
+		uses = reported
 	}
 	if uses == nil {
 		return snapshot
@@ -147,8 +148,8 @@
 	return snapshot
 }
 
-// reviewSubscribers notes which of those that this instance serves as a hub use shares that do
-// not suit any more.
+// reviewSubscribers checks which of the subscribers of this hub use subsets that are no longer
+// suitable.
 func (in *Instance) reviewSubscribers() {
 	list := in.registry.View()
 	if list.Part {
@@ -159,7 +160,7 @@
 		if to.zone != in.config.Zone || !to.part {
 			continue
 		}
-		wanted := in.wouldUse(name, to.zone, list, byZone[to.zone])
+		wanted := in.subsetFor(name, to.zone, list, byZone[to.zone])
 		in.hubs.setOutgrown(name, !in.config.Subset.Fits(to.uses, wanted, census))
 	}
 }
--- a/edge/uses_test.go
+++ b/edge/uses_test.go
@@ -266,11 +266,11 @@
 			t.Errorf("%s: %q, not %q", what, got, want)
 		}
 	}
-	check("all", split(updates, everyChange(updates.Changes), 4), "104:s0s1s2s3", "108:s4s5s6s7", "110:s8s9")
+	check("all", split(updates, allIndexes(updates.Changes), 4), "104:s0s1s2s3", "108:s4s5s6s7", "110:s8s9")
 	check("some", split(updates, []int{1, 4, 5, 9}, 2), "105:s1s4", "110:s5s9")
 	check("none", split(updates, nil, 2), "110:")
 	updates.To = 112
-	check("too many of which some are missing", split(updates, everyChange(updates.Changes), 4))
+	check("too many of which some are missing", split(updates, allIndexes(updates.Changes), 4))
 	check("few of which some are missing", split(updates, []int{1, 4}, 4), "112:s1s4")
 }
 
@@ -284,7 +284,7 @@
 	updates := heartbeat.Updates{From: 0, To: 5, Changes: []registry.Change{
 		{ID: "a"}, {ID: "b"}, {ID: "c", Entry: &registry.Entry{ID: "c", Service: "all"}}, {ID: "d"}, {ID: "e", Entry: &registry.Entry{ID: "e", Service: "few"}},
 	}}
-	parts := partOf(updates, entriesBefore(updates.Changes, before), uses, 10)
+	parts := updatesForSubset(updates, entriesBefore(updates.Changes, before), uses, 10)
 	got := ""
 	for _, change := range parts[0].Changes {
 		got += change.ID
