--- a/allotment/gossip.go
+++ b/allotment/gossip.go
@@ -16,11 +16,11 @@
 	Recent int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Level is what a hub knows of a team: the balance of its token bucket, and what the hub's
+// Balance is what a hub knows of a team: the balance of its token bucket, and what the hub's
 // zone has spent since the hub started.
-type Level struct {
+type Balance struct {
 	Team  ID    `cbor:"1,keyasint"`
-	Left  int64 `cbor:"2,keyasint"`
+	Units int64 `cbor:"2,keyasint"`
 	Total int64 `cbor:"3,keyasint"`
 }
 
@@ -40,27 +40,27 @@
 	return spent
 }
 
-// Levels returns what a hub sends about teams that have spent something within
+// Balances returns what a hub sends about teams that have spent something within
 // Config.RepeatFor at any instance. It returns at most the given number of teams, those with
 // the lowest balances first, since for them a current balance matters most.
-func (l *Ledger) Levels(most int, now time.Time) []Level {
+func (l *Ledger) Balances(most int, now time.Time) []Balance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var levels []Level
+	var levels []Balance
 	for _, a := range l.teams {
 		if now.Sub(a.lastSpent) > l.config.RepeatFor {
 			continue
 		}
 		l.refill(a, now)
-		levels = append(levels, Level{Team: IDOf(a.team), Left: int64(a.balance), Total: int64(a.zoneTotal)})
+		levels = append(levels, Balance{Team: IDOf(a.team), Units: int64(a.balance), Total: int64(a.zoneTotal)})
 	}
-	slices.SortFunc(levels, func(a, b Level) int { return cmp.Or(cmp.Compare(a.Left, b.Left), cmp.Compare(a.Team, b.Team)) })
+	slices.SortFunc(levels, func(a, b Balance) int { return cmp.Or(cmp.Compare(a.Units, b.Units), cmp.Compare(a.Team, b.Team)) })
 	return levels[:min(len(levels), most)]
 }
 
-// Heard applies the totals that a sibling has spent. sameZone is whether the sibling is in
+// ApplySpent applies the totals that a sibling has spent. sameZone is whether the sibling is in
 // this instance's zone.
-func (l *Ledger) Heard(sibling string, incarnation uint64, spent []Spent, sameZone bool, now time.Time) {
+func (l *Ledger) ApplySpent(sibling string, incarnation uint64, spent []Spent, sameZone bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastContact = now
@@ -79,8 +79,8 @@
 	}
 }
 
-// HeardZone applies what a hub of another zone knows.
-func (l *Ledger) HeardZone(hub string, incarnation uint64, levels []Level, now time.Time) {
+// ApplyZone applies what a hub of another zone knows.
+func (l *Ledger) ApplyZone(hub string, incarnation uint64, levels []Balance, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastContact = now
@@ -90,15 +90,15 @@
 		for _, a := range l.byID[entry.Team] {
 			l.deduct(a, added, now)
 			if !known {
-				a.balance = min(a.balance, float64(entry.Left))
+				a.balance = min(a.balance, float64(entry.Units))
 			}
 		}
 	}
 }
 
-// Word is what a member receives from its hub about teams.
-type Word struct {
-	Levels []Level
+// HubUpdate is what a member receives from its hub about teams.
+type HubUpdate struct {
+	Levels []Balance
 	// Known is the time up to which the hub knew what this instance had spent.
 	Known time.Time
 	// Due is when the next message is expected. It is zero for an instance that receives
@@ -106,24 +106,24 @@
 	Due time.Time
 }
 
-// Adopt replaces the balances of this instance by those that its hub sent, less what this
-// instance has admitted since Word.Known.
-func (l *Ledger) Adopt(update Word, now time.Time) {
+// ApplyHubUpdate replaces the balances of this instance by those that its hub sent, less what this
+// instance has admitted since HubUpdate.Known.
+func (l *Ledger) ApplyHubUpdate(update HubUpdate, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastContact = now
 	l.nextUpdateDue = update.Due
 	for _, entry := range update.Levels {
 		for _, a := range l.byID[entry.Team] {
-			a.balance = float64(entry.Left) - (a.ownTotal - a.ownTotalAt(update.Known))
+			a.balance = float64(entry.Units) - (a.ownTotal - a.ownTotalAt(update.Known))
 			a.at, a.lastSpent, a.reduced = now, now, false
 		}
 	}
 }
 
-// DropWord ends the expectation of a next message from a hub, once this instance receives
+// DropHub ends the expectation of a next message from a hub, once this instance receives
 // messages from the others itself.
-func (l *Ledger) DropWord(now time.Time) {
+func (l *Ledger) DropHub(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.nextUpdateDue.IsZero() {
--- a/allotment/ledger.go
+++ b/allotment/ledger.go
@@ -58,9 +58,9 @@
 	Admitted bool
 	// Team is the team whose bucket was checked. Cost is what the request counts as, and Left
 	// is the balance before it, both in units. A negative balance is a debt.
-	Team string
-	Cost float64
-	Left float64
+	Team    string
+	Cost    float64
+	Balance float64
 	// Used is the fraction used of what the team may use at once, from 0 to 1.
 	Used float64
 	// Share is the share of the team's rate that this instance could use. Known is the time
@@ -111,8 +111,8 @@
 	}
 }
 
-// Bounds reports whether any team is limited.
-func (l *Ledger) Bounds() bool {
+// AnyLimited reports whether any team is limited.
+func (l *Ledger) AnyLimited() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.teams) > 0
@@ -189,7 +189,7 @@
 		a.balance -= l.random() * cost * (1 - l.share)
 		a.reduced = false
 	}
-	decision := Decision{Admitted: a.balance > 0, Team: team, Cost: cost, Left: a.balance, Share: l.share}
+	decision := Decision{Admitted: a.balance > 0, Team: team, Cost: cost, Balance: a.balance, Share: l.share}
 	if most := l.capacity(a.limit) * l.share; most > 0 {
 		decision.Used = min(max(1-a.balance/most, 0), 1)
 	}
@@ -204,8 +204,8 @@
 	return decision
 }
 
-// Return releases the cost of a request that never ran.
-func (l *Ledger) Return(team string, cost float64, now time.Time) {
+// Refund releases the cost of a request that never ran.
+func (l *Ledger) Refund(team string, cost float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a := l.teams[team]; a != nil {
--- a/allotment/play_test.go
+++ b/allotment/play_test.go
@@ -149,7 +149,7 @@
 		l := p.inFlight[0]
 		p.inFlight = p.inFlight[1:]
 		p.lastReceived[l.to][l.from] = now
-		p.ledgers[l.to].Heard(fmt.Sprint(l.from), l.incarnation, l.spent, true, now)
+		p.ledgers[l.to].ApplySpent(fmt.Sprint(l.from), l.incarnation, l.spent, true, now)
 	}
 }
 
@@ -285,14 +285,14 @@
 	l := New(DefaultConfig(), func() float64 { return 0 })
 	l.SetLimits(map[string]Limit{testTeam: {Rate: 100, Burst: 100}}, now)
 	now = now.Add(time.Second)
-	if d := l.Admit(testTeam, 150, now); !d.Admitted || d.Left != 100 {
+	if d := l.Admit(testTeam, 150, now); !d.Admitted || d.Balance != 100 {
 		t.Fatalf("%+v", d)
 	}
 	if d := l.Admit(testTeam, 10, now); d.Admitted || d.Wait != 500*time.Millisecond {
 		t.Fatalf("%+v", d)
 	}
-	l.Return(testTeam, 150, now)
-	if d := l.Admit(testTeam, 10, now); !d.Admitted || d.Left != 100 {
+	l.Refund(testTeam, 150, now)
+	if d := l.Admit(testTeam, 10, now); !d.Admitted || d.Balance != 100 {
 		t.Fatalf("%+v", d)
 	}
 	if d := l.Admit("not limited", 1e9, now); !d.Admitted {
@@ -307,7 +307,7 @@
 	l.SetLimits(map[string]Limit{testTeam: {Rate: 1000, Burst: 1000}}, now)
 	now = now.Add(time.Minute)
 	l.SetLimits(map[string]Limit{testTeam: {Rate: 10, Burst: 10}, "b": {Rate: 10, Burst: 10}}, now)
-	if d := l.Admit(testTeam, 11, now); !d.Admitted || d.Left != 10 {
+	if d := l.Admit(testTeam, 11, now); !d.Admitted || d.Balance != 10 {
 		t.Fatalf("%+v", d)
 	}
 	if d := l.Admit(testTeam, 1, now); d.Admitted {
@@ -329,8 +329,8 @@
 	known := now.Add(10 * time.Millisecond)
 	l.Admit(testTeam, 30, now.Add(20*time.Millisecond))
 	now = now.Add(50 * time.Millisecond)
-	l.Adopt(Word{Levels: []Level{{Team: IDOf(testTeam), Left: 40}}, Known: known, Due: now.Add(time.Minute)}, now)
-	if d := l.Admit(testTeam, 1, now); !d.Admitted || d.Left != 10 {
+	l.ApplyHubUpdate(HubUpdate{Levels: []Balance{{Team: IDOf(testTeam), Units: 40}}, Known: known, Due: now.Add(time.Minute)}, now)
+	if d := l.Admit(testTeam, 1, now); !d.Admitted || d.Balance != 10 {
 		t.Fatalf("%+v", d)
 	}
 }
@@ -342,22 +342,22 @@
 	now := time.Unix(1000, 0)
 	l := New(DefaultConfig(), func() float64 { return 0 })
 	l.SetLimits(map[string]Limit{testTeam: {Rate: 1000, Burst: 5000}, "b": {Rate: 1000, Burst: 5000}}, now)
-	update := Word{Known: now, Due: now.Add(100 * time.Millisecond), Levels: []Level{
-		{Team: IDOf(testTeam), Left: 100}, {Team: IDOf("b"), Left: 4000},
+	update := HubUpdate{Known: now, Due: now.Add(100 * time.Millisecond), Levels: []Balance{
+		{Team: IDOf(testTeam), Units: 100}, {Team: IDOf("b"), Units: 4000},
 	}}
-	l.Adopt(update, now)
-	if d := l.Admit(testTeam, 0, now.Add(100*time.Millisecond)); d.Left != 200 {
+	l.ApplyHubUpdate(update, now)
+	if d := l.Admit(testTeam, 0, now.Add(100*time.Millisecond)); d.Balance != 200 {
 		t.Fatalf("before the update is due: %+v", d)
 	}
 	now = now.Add(200 * time.Millisecond)
 	if d := l.Admit(testTeam, 50, now); d.Admitted {
 		t.Fatalf("team with a small balance: %+v", d)
 	}
-	if d := l.Admit("b", 50, now); !d.Admitted || d.Left != 4100-overdueSpendFactor*100 {
+	if d := l.Admit("b", 50, now); !d.Admitted || d.Balance != 4100-overdueSpendFactor*100 {
 		t.Fatalf("team with a large balance: %+v", d)
 	}
-	l.DropWord(now)
-	if d := l.Admit("b", 0, now.Add(100*time.Millisecond)); d.Left != 4100-overdueSpendFactor*100-50+100 {
+	l.DropHub(now)
+	if d := l.Admit("b", 0, now.Add(100*time.Millisecond)); d.Balance != 4100-overdueSpendFactor*100-50+100 {
 		t.Fatalf("after the hub is dropped: %+v", d)
 	}
 }
--- a/backpressure/bench_test.go
+++ b/backpressure/bench_test.go
@@ -9,12 +9,12 @@
 // BenchmarkLook measures the check of one server, which is on the path of each request.
 func BenchmarkLook(b *testing.B) {
 	now := time.Now()
-	for name, report := range map[string]Statement{"no limit": noLimit, "limited": limitReport(5)} {
+	for name, report := range map[string]StatusReport{"no limit": noLimit, "limited": limitOf(5)} {
 		b.Run(name, func(b *testing.B) {
 			server := singleInstance().Server("s")
-			server.Heard(report, now, now)
+			server.Observe(report, now, now)
 			for b.Loop() {
-				server.Look(PlainWork, now)
+				server.Check(PlainWork, now)
 			}
 		})
 	}
@@ -26,7 +26,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			instances := &Instances{Self: "i0"}
 			for i := range size {
-				instances.Taking = append(instances.Taking, fmt.Sprint("i", i))
+				instances.Active = append(instances.Active, fmt.Sprint("i", i))
 			}
 			for b.Loop() {
 				instances.share(7, 5, instances.sendersFor(5))
--- a/backpressure/cold.go
+++ b/backpressure/cold.go
@@ -13,9 +13,9 @@
 	allowance allowance
 }
 
-// Cold sets the rate, in requests a second from all instances together, that a server can
+// SetCold sets the rate, in requests a second from all instances together, that a server can
 // handle until it is warm. most is the number of requests that it may get in any one second.
-func (s *Server) Cold(rate, most float64, until time.Time, now time.Time) {
+func (s *Server) SetCold(rate, most float64, until time.Time, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !now.Before(s.cold.until) {
--- a/backpressure/cold_test.go
+++ b/backpressure/cold_test.go
@@ -26,7 +26,7 @@
 				servers, start := coldServers(size, rate, most), time.Now()
 				warm := start.Add(10 * time.Second)
 				for _, server := range servers {
-					server.Cold(rate, most, warm, start)
+					server.SetCold(rate, most, warm, start)
 				}
 				var sent []time.Time
 				for now := start; now.Before(warm); now = now.Add(10 * time.Millisecond) {
@@ -42,7 +42,7 @@
 				if float64(len(sent)) < 0.8*rate*10 {
 					t.Errorf("%d requests in 10 s, rate: %v a second", len(sent), rate)
 				}
-				if servers[0].IsCold(warm) || servers[0].Send(PlainWork, warm) != Clear || servers[0].RoomIn(PlainWork, warm) != 0 {
+				if servers[0].IsCold(warm) || servers[0].Send(PlainWork, warm) != Clear || servers[0].Delay(PlainWork, warm) != 0 {
 					t.Error("requests are withheld from a warm server")
 				}
 			})
@@ -59,7 +59,7 @@
 	var servers []*Server
 	for i, self := range taking {
 		tracker := New(rand.New(rand.NewPCG(uint64(i), 5)).Float64)
-		tracker.SetInstances(Instances{Self: self, Taking: taking})
+		tracker.SetInstances(Instances{Self: self, Active: taking})
 		servers = append(servers, tracker.Server("s"))
 	}
 	return servers
@@ -79,8 +79,8 @@
 
 func TestColdServerMayReportLimit(t *testing.T) {
 	server, now := singleInstance().Server("s"), time.Now()
-	server.Cold(100, 155, now.Add(time.Minute), now)
-	server.Heard(limitReport(1), now, now)
+	server.SetCold(100, 155, now.Add(time.Minute), now)
+	server.Observe(limitOf(1), now, now)
 	sent := 0
 	for i := range 1000 {
 		if server.Send(PlainWork, now.Add(time.Duration(i)*10*time.Millisecond)) == Clear {
@@ -93,7 +93,7 @@
 	if server.tracker.Limited() != 1 || server.tracker.Cold(now) != 1 {
 		t.Error("server is not counted as limited and as cold")
 	}
-	if updates := server.tracker.Whole(now); len(updates) != 1 || len(updates[0].Limits) != 1 {
+	if updates := server.tracker.FullUpdate(now); len(updates) != 1 || len(updates[0].Limits) != 1 {
 		t.Errorf("updates for siblings: %+v", updates)
 	}
 }
--- a/backpressure/instances.go
+++ b/backpressure/instances.go
@@ -12,22 +12,22 @@
 	// Self is the name of this instance. Taking are the names of all instances that accept
 	// requests.
 	Self   string
-	Taking []string
+	Active []string
 	// Silent is the number of instances that sent messages until a short while ago. They may
 	// still be sending requests to servers.
 	Silent int
 }
 
 func (i *Instances) equal(other *Instances) bool {
-	return i.Self == other.Self && i.Silent == other.Silent && slices.Equal(i.Taking, other.Taking)
+	return i.Self == other.Self && i.Silent == other.Silent && slices.Equal(i.Active, other.Active)
 }
 
 // total returns the number of instances that may be sending requests to servers.
-func (i *Instances) total() int { return max(len(i.Taking)+i.Silent, 1) }
+func (i *Instances) total() int { return max(len(i.Active)+i.Silent, 1) }
 
 // reachable returns the fraction of these instances from which this instance receives
 // messages.
-func (i *Instances) reachable() float64 { return float64(max(len(i.Taking), 1)) / float64(i.total()) }
+func (i *Instances) reachable() float64 { return float64(max(len(i.Active), 1)) / float64(i.total()) }
 
 // sendersPerRate is the number of instances, beyond the first, that send to a limited server
 // for each request a second that the server accepts. Each of them may send a burst at once,
@@ -37,7 +37,7 @@
 
 // sendersFor returns the number of instances that share a limit.
 func (i *Instances) sendersFor(limit float64) int {
-	return 1 + int(min(limit, float64(len(i.Taking)))*sendersPerRate)
+	return 1 + int(min(limit, float64(len(i.Active)))*sendersPerRate)
 }
 
 // share returns this instance's share of a server's limit, in requests a second, if senders
@@ -46,12 +46,12 @@
 // had a share, it would be one request in many seconds, and all bursts together would break
 // the limit.
 func (i *Instances) share(server ID, limit float64, senders int) float64 {
-	if !slices.Contains(i.Taking, i.Self) {
+	if !slices.Contains(i.Active, i.Self) {
 		return 0
 	}
-	senders = min(senders, len(i.Taking))
+	senders = min(senders, len(i.Active))
 	own, higher := weight(server, i.Self), 0
-	for _, name := range i.Taking {
+	for _, name := range i.Active {
 		if weight(server, name) > own {
 			higher++
 		}
--- a/backpressure/limit_test.go
+++ b/backpressure/limit_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// limitReport is the report of an answer with a limit, and noLimit of one without.
-func limitReport(rate float64) Statement { return Statement{Kind: Plain, Limited: true, Limit: rate} }
+// limitOf is the report of an answer with a limit, and noLimit of one without.
+func limitOf(rate float64) StatusReport { return StatusReport{Kind: Plain, Limited: true, Limit: rate} }
 
-var noLimit = Statement{Kind: Plain}
+var noLimit = StatusReport{Kind: Plain}
 
 // singleInstance returns the tracker of the only instance.
 func singleInstance() *Tracker {
 	tracker := New(rand.New(rand.NewPCG(1, 2)).Float64)
-	tracker.SetInstances(Instances{Self: "i", Taking: []string{"i"}})
+	tracker.SetInstances(Instances{Self: "i", Active: []string{"i"}})
 	return tracker
 }
 
@@ -23,22 +23,22 @@
 	start := time.Now()
 	at := func(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
 	for name, test := range map[string]struct {
-		report       Statement
+		report       StatusReport
 		sent         int
 		stillLimited bool
 	}{
 		"a later answer":                                      {noLimit, 20, false},
 		"an answer to a call sent before":                     {noLimit, 5, true},
-		"a refusal":                                           {Statement{Kind: Plain, Refused: true}, 20, true},
-		"an answer with an unreadable limit":                  {Statement{Kind: Plain, Unreadable: true}, 20, true},
-		"an answer to another kind of call":                   {Statement{Kind: Reserve}, 20, true},
-		"an answer with the same limit":                       {limitReport(5), 20, true},
-		"an answer with another limit, to a call sent before": {limitReport(7), 5, true},
+		"a refusal":                                           {StatusReport{Kind: Plain, Rejected: true}, 20, true},
+		"an answer with an unreadable limit":                  {StatusReport{Kind: Plain, Unreadable: true}, 20, true},
+		"an answer to another kind of call":                   {StatusReport{Kind: Reserve}, 20, true},
+		"an answer with the same limit":                       {limitOf(5), 20, true},
+		"an answer with another limit, to a call sent before": {limitOf(7), 5, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := singleInstance().Server("s")
-			server.Heard(limitReport(5), at(0), at(10))
-			server.Heard(test.report, at(test.sent), at(30))
+			server.Observe(limitOf(5), at(0), at(10))
+			server.Observe(test.report, at(test.sent), at(30))
 			if _, limited := server.Limit(); limited != test.stillLimited {
 				t.Errorf("limited: %t", limited)
 			}
@@ -51,13 +51,13 @@
 func TestLimitEndsWithAnswerOfAnyReportingKind(t *testing.T) {
 	server, start := singleInstance().Server("s"), time.Now()
 	at := func(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
-	server.Heard(limitReport(5), at(0), at(10))
-	server.Heard(Statement{Kind: Report, Limited: true, Limit: 5}, at(20), at(30))
-	server.Heard(Statement{Kind: Release}, at(40), at(50))
+	server.Observe(limitOf(5), at(0), at(10))
+	server.Observe(StatusReport{Kind: Report, Limited: true, Limit: 5}, at(20), at(30))
+	server.Observe(StatusReport{Kind: Release}, at(40), at(50))
 	if _, limited := server.Limit(); !limited {
 		t.Fatal("limit ended by an answer of a kind that has never reported it")
 	}
-	server.Heard(noLimit, at(60), at(70))
+	server.Observe(noLimit, at(60), at(70))
 	if _, limited := server.Limit(); limited {
 		t.Error("limit did not end")
 	}
@@ -69,8 +69,8 @@
 	urgent := 0
 	tracker.OnChange(func(change Change) { changes = append(changes, change) }, func() { urgent++ })
 	server := tracker.Server("s")
-	for i, report := range []Statement{noLimit, limitReport(5), limitReport(5.1), limitReport(5), limitReport(9), noLimit, noLimit} {
-		server.Heard(report, start.Add(time.Duration(2*i)*time.Second), start.Add(time.Duration(2*i+1)*time.Second))
+	for i, report := range []StatusReport{noLimit, limitOf(5), limitOf(5.1), limitOf(5), limitOf(9), noLimit, noLimit} {
+		server.Observe(report, start.Add(time.Duration(2*i)*time.Second), start.Add(time.Duration(2*i+1)*time.Second))
 	}
 	if len(changes) != 3 || changes[0].Now != "limited to 5/s" || changes[2].Now != "not limited" || urgent != 3 {
 		t.Errorf("changes: %+v, urgent notifications: %d", changes, urgent)
@@ -79,14 +79,14 @@
 
 func TestUnlistedServersAreForgotten(t *testing.T) {
 	tracker, start := singleInstance(), time.Now()
-	tracker.Server("s").Heard(limitReport(5), start, start)
+	tracker.Server("s").Observe(limitOf(5), start, start)
 	all, none := func(string) bool { return true }, func(string) bool { return false }
-	tracker.Keep(all, start)
-	tracker.Keep(none, start.Add(time.Minute))
+	tracker.Prune(all, start)
+	tracker.Prune(none, start.Add(time.Minute))
 	if tracker.Limited() != 1 {
 		t.Error("server forgotten while its entry may come back")
 	}
-	tracker.Keep(none, start.Add(3*time.Minute))
+	tracker.Prune(none, start.Add(3*time.Minute))
 	if tracker.Limited() != 0 {
 		t.Error("server is still known")
 	}
@@ -99,7 +99,7 @@
 			t.Fatal("request was withheld")
 		}
 	}
-	if (*Server)(nil).Look(ReserveWork, time.Now()) != Clear {
+	if (*Server)(nil).Check(ReserveWork, time.Now()) != Clear {
 		t.Error("request was withheld from a server without state")
 	}
 }
@@ -107,9 +107,9 @@
 // Follow-up requests are sent at once, but they count, so that others wait.
 func TestFollowUpRequestsAreSentAndCounted(t *testing.T) {
 	server, now := singleInstance().Server("s"), time.Now()
-	server.Heard(limitReport(1), now, now)
+	server.Observe(limitOf(1), now, now)
 	now = now.Add(2 * time.Second)
-	server.Heard(limitReport(1), now, now)
+	server.Observe(limitOf(1), now, now)
 	for range 3 {
 		if server.Send(FreeWork, now) != Clear {
 			t.Fatal("request was withheld")
@@ -143,7 +143,7 @@
 	}
 	sum, senders := 0.0, 0
 	for _, self := range taking {
-		instances := &Instances{Self: self, Taking: taking}
+		instances := &Instances{Self: self, Active: taking}
 		share := instances.share(server, rate, instances.sendersFor(rate))
 		sum += share
 		if share > 0 {
@@ -165,10 +165,10 @@
 func tolerance(rate float64) float64 { return 1.5*rate*limitWindow.Seconds() + 5 }
 
 func TestInstanceNotAcceptingRequestsHasNoShare(t *testing.T) {
-	if share := (&Instances{Self: "i", Taking: []string{"j"}}).share(1, 5, 6); share != 0 {
+	if share := (&Instances{Self: "i", Active: []string{"j"}}).share(1, 5, 6); share != 0 {
 		t.Errorf("share = %v, want 0", share)
 	}
-	if share := (&Instances{Self: "i", Taking: []string{"i"}, Silent: 3}).share(1, 8, 9); share != 2 {
+	if share := (&Instances{Self: "i", Active: []string{"i"}, Silent: 3}).share(1, 8, 9); share != 2 {
 		t.Errorf("share of one instance of four with three silent = %v of 8", share)
 	}
 }
--- a/backpressure/server.go
+++ b/backpressure/server.go
@@ -17,8 +17,8 @@
 	OverLimit
 	// Leaving: the server has reported that it is draining.
 	Leaving
-	// Resting: the server asked this instance to back off.
-	Resting
+	// BackingOff: the server asked this instance to back off.
+	BackingOff
 )
 
 // String returns the verdict as it is written to the log.
@@ -30,7 +30,7 @@
 		return "limit"
 	case Leaving:
 		return "leaving"
-	case Resting:
+	case BackingOff:
 		return "resting"
 	}
 	return "unknown"
@@ -91,8 +91,8 @@
 // unrestricted reports whether nothing is known that can withhold calls.
 func (s *Server) unrestricted() bool { return s == nil || (!s.reported.Load() && !s.wasCold.Load()) }
 
-// Look reports whether work may be sent to the server now, without counting it.
-func (s *Server) Look(work Work, now time.Time) Verdict {
+// Check reports whether work may be sent to the server now, without counting it.
+func (s *Server) Check(work Work, now time.Time) Verdict {
 	if s.unrestricted() {
 		return Clear
 	}
@@ -119,12 +119,12 @@
 // check reports what withholds work. The caller holds the lock.
 func (s *Server) check(work Work, now time.Time) Verdict {
 	switch {
-	case work.Owed && work.Kind == Decode:
+	case work.FollowUp && work.Kind == Decode:
 		// Withholding this call would lose a stream that was stopped at the server.
 		return Clear
 	case s.backoff.blocks(now):
-		return Resting
-	case work.Owed:
+		return BackingOff
+	case work.FollowUp:
 		return Clear
 	case s.drain.leaving:
 		return Leaving
@@ -144,9 +144,9 @@
 	return s.drain.leaving
 }
 
-// IsResting reports whether the server has asked this instance to back off for a time that is
+// IsBackingOff reports whether the server has asked this instance to back off for a time that is
 // not over.
-func (s *Server) IsResting(now time.Time) bool {
+func (s *Server) IsBackingOff(now time.Time) bool {
 	if s == nil || !s.reported.Load() {
 		return false
 	}
@@ -155,10 +155,10 @@
 	return now.Before(s.backoff.until)
 }
 
-// WantsNothing reports whether calls to the server are withheld by a backoff: either the
+// BlockedByBackoff reports whether calls to the server are withheld by a backoff: either the
 // backoff lasts, or the first request after it was sent a moment ago and has not been
 // answered.
-func (s *Server) WantsNothing(now time.Time) bool {
+func (s *Server) BlockedByBackoff(now time.Time) bool {
 	if s == nil || !s.reported.Load() {
 		return false
 	}
@@ -167,8 +167,8 @@
 	return s.backoff.blocks(now)
 }
 
-// RoomIn returns how long it takes until work may be sent to the server, as far as is known.
-func (s *Server) RoomIn(work Work, now time.Time) time.Duration {
+// Delay returns how long it takes until work may be sent to the server, as far as is known.
+func (s *Server) Delay(work Work, now time.Time) time.Duration {
 	if s.unrestricted() {
 		return 0
 	}
@@ -177,9 +177,9 @@
 	return max(s.limitDelay(work.Calls, now), s.coldDelay(work.Calls, now), s.backoff.delay(now))
 }
 
-// Heard applies the server status report in an answer to a call. sent is when the call was
+// Observe applies the server status report in an answer to a call. sent is when the call was
 // sent.
-func (s *Server) Heard(report Statement, sent, now time.Time) {
+func (s *Server) Observe(report StatusReport, sent, now time.Time) {
 	if !report.restricts() && !s.reported.Load() {
 		return
 	}
@@ -221,11 +221,11 @@
 
 // observeBackoff applies a requested backoff and reports whether it starts with this answer.
 // The caller holds the lock.
-func (s *Server) observeBackoff(report Statement, now time.Time) (started bool) {
+func (s *Server) observeBackoff(report StatusReport, now time.Time) (started bool) {
 	if report.Backoff > 0 {
 		return s.backoff.extend(report.Backoff, s.tracker.random(), now)
 	}
-	if !report.Refused && !now.Before(s.backoff.until) {
+	if !report.Rejected && !now.Before(s.backoff.until) {
 		s.backoff.recovering = false
 	}
 	return false
@@ -234,7 +234,7 @@
 // observeLimit applies what an answer reports of the rate limit. An answer without a limit
 // ends the limit, unless the call was sent before the limit was last reported: answers
 // overtake each other. The caller holds the lock.
-func (s *Server) observeLimit(report Statement, sent, now time.Time) {
+func (s *Server) observeLimit(report StatusReport, sent, now time.Time) {
 	next := limit{at: now, observation: s.tracker.nextObservation(), freshUntil: s.limit.freshUntil}
 	switch {
 	case report.Limited:
--- a/backpressure/statement.go
+++ b/backpressure/statement.go
@@ -39,10 +39,10 @@
 	// Calls is the number of calls that it counts as against a rate limit. It includes the
 	// calls that are certain to follow.
 	Calls float64
-	// Owed is set for follow-up requests: they finish or continue work that a server already
+	// FollowUp is set for follow-up requests: they finish or continue work that a server already
 	// has, and withholding them would cost the server more. They count against a rate limit,
 	// but do not wait for it.
-	Owed bool
+	FollowUp bool
 }
 
 // Kinds of work sent to servers.
@@ -51,24 +51,24 @@
 	PrefillWork = Work{Kind: Prefill, Calls: 1}
 	// ReserveWork also counts the call that uses or releases the reservation.
 	ReserveWork = Work{Kind: Reserve, Calls: 2}
-	ReleaseWork = Work{Kind: Release, Owed: true}
+	ReleaseWork = Work{Kind: Release, FollowUp: true}
 	// DecodeWork uses a reservation, which has already been counted.
 	DecodeWork = Work{Kind: Decode}
-	// TakeOverWork continues a stream that has moved to the server. TakeBackWork continues one
+	// ResumeMovedWork continues a stream that has moved to the server. ResumeStoppedWork continues one
 	// that was stopped at the server and could not move.
-	TakeOverWork = Work{Kind: Decode, Calls: 1}
-	TakeBackWork = Work{Kind: Decode, Calls: 1, Owed: true}
-	MoveWork     = Work{Kind: Move, Calls: 1, Owed: true}
-	FreeWork     = Work{Kind: Free, Calls: 1, Owed: true}
+	ResumeMovedWork   = Work{Kind: Decode, Calls: 1}
+	ResumeStoppedWork = Work{Kind: Decode, Calls: 1, FollowUp: true}
+	MoveWork          = Work{Kind: Move, Calls: 1, FollowUp: true}
+	FreeWork          = Work{Kind: Free, Calls: 1, FollowUp: true}
 	// OrderWork also counts the report by which the order is decided.
 	OrderWork = Work{Kind: Order, Calls: 2}
 )
 
-// Statement is the server status report in one answer.
-type Statement struct {
+// StatusReport is the server status report in one answer.
+type StatusReport struct {
 	Kind Kind
-	// Refused is set if the server did not execute the request.
-	Refused bool
+	// Rejected is set if the server did not execute the request.
+	Rejected bool
 	// Limited is set if the answer reports a rate limit. Limit is the number of requests a
 	// second that the server accepts from all instances together.
 	Limited bool
@@ -83,10 +83,10 @@
 }
 
 // restricts reports whether the report contains anything that can withhold calls.
-func (s Statement) restricts() bool { return s.Limited || s.Leaving || s.Backoff > 0 }
+func (s StatusReport) restricts() bool { return s.Limited || s.Leaving || s.Backoff > 0 }
 
 // endsLimit reports whether the answer ends a limit that was reported in answers of the kinds
 // named. Answers to rejected calls and to other kinds of calls may never report a limit.
-func (s Statement) endsLimit(named Kinds) bool {
-	return !s.Limited && !s.Refused && !s.Unreadable && named.has(s.Kind)
+func (s StatusReport) endsLimit(named Kinds) bool {
+	return !s.Limited && !s.Rejected && !s.Unreadable && named.has(s.Kind)
 }
--- a/backpressure/tracker.go
+++ b/backpressure/tracker.go
@@ -128,8 +128,8 @@
 // back.
 const forgetAfter = 2 * time.Minute
 
-// Keep forgets the servers that have been off the list of servers for longer than forgetAfter.
-func (t *Tracker) Keep(known func(run string) bool, now time.Time) {
+// Prune forgets the servers that have been off the list of servers for longer than forgetAfter.
+func (t *Tracker) Prune(known func(run string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, server := range t.servers {
@@ -143,9 +143,9 @@
 	}
 }
 
-// Holds reports whether any server has reported something or was cold. Only then does it
+// AnyRestricted reports whether any server has reported something or was cold. Only then does it
 // matter which instances share the rates of such servers.
-func (t *Tracker) Holds() bool { return t.restricted.Load() }
+func (t *Tracker) AnyRestricted() bool { return t.restricted.Load() }
 
 // Count returns the number of servers that have reported something and match a condition.
 func (t *Tracker) Count(matches func(*Server) bool) int {
@@ -169,9 +169,9 @@
 // Leaving returns the number of servers that have reported that they are draining.
 func (t *Tracker) Leaving() int { return t.Count((*Server).IsLeaving) }
 
-// Resting returns the number of servers that have asked this instance to back off.
-func (t *Tracker) Resting(now time.Time) int {
-	return t.Count(func(server *Server) bool { return server.IsResting(now) })
+// BackingOff returns the number of servers that have asked this instance to back off.
+func (t *Tracker) BackingOff(now time.Time) int {
+	return t.Count(func(server *Server) bool { return server.IsBackingOff(now) })
 }
 
 // Cold returns the number of servers that accept few requests because they have just started.
--- a/backpressure/update.go
+++ b/backpressure/update.go
@@ -8,20 +8,20 @@
 
 // Update is what an instance sends its siblings of what servers report.
 type Update struct {
-	Limits []LimitSaid `cbor:"1,keyasint,omitempty"`
-	Drains []DrainSaid `cbor:"2,keyasint,omitempty"`
+	Limits []LimitReport `cbor:"1,keyasint,omitempty"`
+	Drains []DrainReport `cbor:"2,keyasint,omitempty"`
 }
 
-// DrainSaid is the report that a server is draining.
-type DrainSaid struct {
+// DrainReport is the report that a server is draining.
+type DrainReport struct {
 	_      struct{} `cbor:",toarray"`
 	Server ID
 	// AgeMillis is how long ago the server first reported it, in milliseconds.
 	AgeMillis int64
 }
 
-// LimitSaid is what a server reported of its limit in one answer.
-type LimitSaid struct {
+// LimitReport is what a server reported of its limit in one answer.
+type LimitReport struct {
 	_      struct{} `cbor:",toarray"`
 	Server ID
 	// Observation identifies the answer. AgeMillis is how long ago the answer arrived, in
@@ -72,9 +72,9 @@
 	return update
 }
 
-// Whole returns all that should be sent to an instance that has just started or was cut off,
+// FullUpdate returns all that should be sent to an instance that has just started or was cut off,
 // in as many updates as needed.
-func (t *Tracker) Whole(now time.Time) []*Update {
+func (t *Tracker) FullUpdate(now time.Time) []*Update {
 	var updates []*Update
 	for chunk := range slices.Chunk(t.serversToSend(now), maxFreshServers) {
 		update := &Update{}
@@ -114,13 +114,13 @@
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if d := &server.drain; d.shouldSend(now) {
-		u.Drains = append(u.Drains, DrainSaid{Server: server.id, AgeMillis: now.Sub(d.at).Milliseconds()})
+		u.Drains = append(u.Drains, DrainReport{Server: server.id, AgeMillis: now.Sub(d.at).Milliseconds()})
 	}
 	l := &server.limit
 	if !l.shouldSend(now) {
 		return
 	}
-	u.Limits = append(u.Limits, LimitSaid{
+	u.Limits = append(u.Limits, LimitReport{
 		Server: server.id, Observation: l.observation, AgeMillis: now.Sub(l.at).Milliseconds(), Kinds: l.kinds, Named: l.named, Rate: l.rate,
 	})
 }
@@ -161,7 +161,7 @@
 	}
 }
 
-func (t *Tracker) mergeLimit(report LimitSaid, by string, relay bool, now time.Time) (changed bool) {
+func (t *Tracker) mergeLimit(report LimitReport, by string, relay bool, now time.Time) (changed bool) {
 	age := time.Duration(report.AgeMillis) * time.Millisecond
 	if report.AgeMillis < 0 || report.AgeMillis > maxReportAge.Milliseconds() || !(report.Rate >= 0) {
 		return false
@@ -191,7 +191,7 @@
 	return changed
 }
 
-func (t *Tracker) mergeDrain(report DrainSaid, by string, relay bool, now time.Time) (isNew bool) {
+func (t *Tracker) mergeDrain(report DrainReport, by string, relay bool, now time.Time) (isNew bool) {
 	age := time.Duration(report.AgeMillis) * time.Millisecond
 	if report.AgeMillis < 0 || report.AgeMillis > drainSentFor.Milliseconds() {
 		return false
--- a/backpressure/update_test.go
+++ b/backpressure/update_test.go
@@ -38,13 +38,13 @@
 	a, b, c := trackers(3)[0], trackers(3)[1], trackers(3)[2]
 	start := time.Now()
 	at := func(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
-	a.Server("s").Heard(limitReport(5), at(0), at(0))
+	a.Server("s").Observe(limitOf(5), at(0), at(0))
 	deliverUpdate(t, a, c, at(0), at(1))
 	for millis := 0; millis < 5000; millis += 100 {
 		deliverUpdate(t, a, b, at(millis), at(millis+90))
 		deliverUpdate(t, b, a, at(millis+5), at(millis+95))
 	}
-	c.Server("s").Heard(noLimit, at(400), at(500))
+	c.Server("s").Observe(noLimit, at(400), at(500))
 	deliverUpdate(t, a, c, at(5000), at(5050))
 	if c.Limited() != 0 {
 		t.Fatal("an older report was accepted")
@@ -61,7 +61,7 @@
 	now := time.Now()
 	notified := 0
 	all[1].OnChange(func(Change) { notified++ }, nil)
-	all[0].Server("s").Heard(Statement{Leaving: true}, now, now)
+	all[0].Server("s").Observe(StatusReport{Leaving: true}, now, now)
 	for range 5 {
 		now = now.Add(300 * time.Millisecond)
 		deliverUpdate(t, all[0], all[1], now, now)
@@ -74,15 +74,15 @@
 // Instances would repeat the state of unlisted servers to each other for ever.
 func TestUnlistedServersAreNotSent(t *testing.T) {
 	tracker, now := singleInstance(), time.Now()
-	tracker.Merge(&Update{Drains: []DrainSaid{{Server: IDOf("s")}}}, "sibling", true, now)
-	if tracker.Update(now) != nil || tracker.Whole(now) != nil {
+	tracker.Merge(&Update{Drains: []DrainReport{{Server: IDOf("s")}}}, "sibling", true, now)
+	if tracker.Update(now) != nil || tracker.FullUpdate(now) != nil {
 		t.Error("unlisted server was sent")
 	}
 	tracker.Server("s")
 	if tracker.Update(now) == nil {
 		t.Error("listed server was not sent")
 	}
-	tracker.Keep(func(string) bool { return false }, now)
+	tracker.Prune(func(string) bool { return false }, now)
 	if tracker.Update(now) != nil {
 		t.Error("server was sent after it left the list")
 	}
@@ -92,7 +92,7 @@
 func TestBackoffIsNotSentToSiblings(t *testing.T) {
 	all := trackers(2)
 	now := time.Now()
-	all[0].Server("s").Heard(rejectedWithBackoff(time.Minute), now, now)
+	all[0].Server("s").Observe(rejectedWithBackoff(time.Minute), now, now)
 	if update := all[0].Update(now); update != nil {
 		t.Errorf("update = %+v, want none", update)
 	}
@@ -101,13 +101,13 @@
 func TestInvalidReportsAreIgnored(t *testing.T) {
 	tracker := singleInstance()
 	tracker.Merge(&Update{
-		Limits: []LimitSaid{
+		Limits: []LimitReport{
 			{Server: 1, AgeMillis: -5, Named: true, Rate: 1},
 			{Server: 2, AgeMillis: time.Hour.Milliseconds(), Named: true, Rate: 1},
 			{Server: 3, Named: true, Rate: -1},
 			{Server: 4, AgeMillis: 1 << 62, Named: true, Rate: 1},
 		},
-		Drains: []DrainSaid{{Server: 5, AgeMillis: -1}, {Server: 6, AgeMillis: 1 << 62}},
+		Drains: []DrainReport{{Server: 5, AgeMillis: -1}, {Server: 6, AgeMillis: 1 << 62}},
 	}, "sibling", true, time.Now())
 	if n := tracker.Limited() + tracker.Leaving(); n != 0 {
 		t.Errorf("%d invalid reports were applied", n)
@@ -117,8 +117,8 @@
 // A report that arrives before its run is on the list applies once the run is listed.
 func TestReportOfUnknownRunAppliesOnceListed(t *testing.T) {
 	tracker, now := singleInstance(), time.Now()
-	tracker.Merge(&Update{Drains: []DrainSaid{{Server: IDOf("s@2")}}}, "sibling", false, now)
-	if tracker.Server("s@2").Look(PlainWork, now) != Leaving || tracker.Server("s@3").Look(PlainWork, now) != Clear {
+	tracker.Merge(&Update{Drains: []DrainReport{{Server: IDOf("s@2")}}}, "sibling", false, now)
+	if tracker.Server("s@2").Check(PlainWork, now) != Leaving || tracker.Server("s@3").Check(PlainWork, now) != Clear {
 		t.Error("report was not applied to its run only")
 	}
 }
--- a/backpressure/ways_test.go
+++ b/backpressure/ways_test.go
@@ -24,10 +24,10 @@
 // fewShares is the strategy of this package: a share for each of a few instances.
 type fewShares struct{ server *Server }
 
-func (p fewShares) allows(now time.Time) bool { return p.server.Look(PlainWork, now) == Clear }
+func (p fewShares) allows(now time.Time) bool { return p.server.Check(PlainWork, now) == Clear }
 func (p fewShares) send(now time.Time) {
 	p.server.Send(PlainWork, now)
-	p.server.Heard(limitReport(p.server.limit.rate), now, now)
+	p.server.Observe(limitOf(p.server.limit.rate), now, now)
 }
 func (p fewShares) received(now time.Time) {
 	p.server.mu.Lock()
@@ -191,9 +191,9 @@
 	return map[string]func(instance, server int, random func() float64, start time.Time) strategy{
 		"few instances": func(instance, server int, random func() float64, start time.Time) strategy {
 			tracker := New(random)
-			tracker.SetInstances(Instances{Self: names[instance], Taking: names})
+			tracker.SetInstances(Instances{Self: names[instance], Active: names})
 			known := tracker.Server(fmt.Sprint("s", server))
-			known.Heard(limitReport(l.limit), start, start)
+			known.Observe(limitOf(l.limit), start, start)
 			return fewShares{known}
 		},
 		"equal shares": func(_, _ int, random func() float64, start time.Time) strategy {
--- a/caller/server.go
+++ b/caller/server.go
@@ -155,7 +155,7 @@
 		f = failure{status: fasthttp.StatusRequestTimeout, why: reason.Malformed, detail: "the request arrived too slowly"}
 	}
 	s.instance.Metrics.Ended("", reason.NotRun, f.why)
-	connwatch.AnswerUnread(ctx.Conn())
+	connwatch.DiscardUnreadOnClose(ctx.Conn())
 	s.writeFailure(ctx, f)
 }
 
--- a/capacity/experiments.go
+++ b/capacity/experiments.go
@@ -163,15 +163,15 @@
 func stewardCPU(size int) float64 {
 	steward := route.NewSteward()
 	now := time.Unix(1, 0)
-	held := make(map[route.HoldKey]int)
+	held := make(map[route.ReservationKey]int)
 	for n := range size {
-		held[route.HoldKey{RequestID: fmt.Sprint(n)}] = 2
+		held[route.ReservationKey{RequestID: fmt.Sprint(n)}] = 2
 	}
-	reservation := route.Ask{HoldKey: route.HoldKey{RequestID: "r"}, Pieces: 2, TTL: time.Second}
+	reservation := route.Demand{ReservationKey: route.ReservationKey{RequestID: "r"}, Pieces: 2, TTL: time.Second}
 	steward.Observe("w", route.EngineReport{TakenAt: now, Pieces: 10_000, Held: held})
 	return nanosPerCall(func() {
 		steward.Reserve("w", reservation, now)
-		steward.Release("w", reservation.HoldKey, now)
+		steward.Release("w", reservation.ReservationKey, now)
 		steward.Observe("w", route.EngineReport{TakenAt: now.Add(time.Second), Pieces: 10_000, Held: held})
 	})
 }
@@ -187,7 +187,7 @@
 	return nanosPerCall(func() {
 		n++
 		if place, why := admission.Admit(service, teams[n%size]); why == "" {
-			place.Leave()
+			place.Release()
 		}
 	})
 }
--- a/connwatch/connwatch.go
+++ b/connwatch/connwatch.go
@@ -54,9 +54,9 @@
 	maxDiscardBytes = 8 << 20
 )
 
-// AnswerUnread records that the request on conn is answered before it was read
+// DiscardUnreadOnClose records that the request on conn is answered before it was read
 // completely.
-func AnswerUnread(conn net.Conn) {
+func DiscardUnreadOnClose(conn net.Conn) {
 	c, ok := conn.(*Conn)
 	if !ok {
 		return
--- a/connwatch/connwatch_test.go
+++ b/connwatch/connwatch_test.go
@@ -93,7 +93,7 @@
 			defer close(closed)
 			_, _ = watched.Read(make([]byte, 1<<10))
 			_, _ = watched.Write([]byte("too large"))
-			AnswerUnread(watched)
+			DiscardUnreadOnClose(watched)
 			watched.Close()
 		}()
 		if _, err := callerEnd.Write(make([]byte, 4<<20)); err != nil {
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -160,7 +160,7 @@
 	p.metrics.Watch("servers_limited", "Backend servers that name a rate limit.", func() float64 { return float64(p.edge.Fleet.Backpressure.Limited()) })
 	p.metrics.Watch("servers_leaving", "Backend servers that have said in their answers that they leave.", func() float64 { return float64(p.edge.Fleet.Backpressure.Leaving()) })
 	p.metrics.Watch("servers_resting", "Backend servers that have asked this instance to leave them alone for a while.", func() float64 {
-		return float64(p.edge.Fleet.Backpressure.Resting(clock.Now()))
+		return float64(p.edge.Fleet.Backpressure.BackingOff(clock.Now()))
 	})
 	p.metrics.Watch("servers_cold", "Backend servers that bear few requests since they have just started.", func() float64 {
 		return float64(p.edge.Fleet.Backpressure.Cold(clock.Now()))
--- a/edge/backpressure.go
+++ b/edge/backpressure.go
@@ -40,7 +40,7 @@
 // sendFullBackpressure sends all known server status reports to an instance that has just
 // appeared. It may have just started and know nothing, or it may have been cut off.
 func (in *Instance) sendFullBackpressure(to member.Info, now time.Time) {
-	for _, update := range in.Fleet.Backpressure.Whole(now) {
+	for _, update := range in.Fleet.Backpressure.FullUpdate(now) {
 		message := in.message(now)
 		message.Pressure = update
 		in.send(message, to.Peer)
@@ -60,12 +60,12 @@
 	share := backpressure.Instances{Self: in.config.Name}
 	silent := 0
 	if in.Ready() {
-		share.Taking = append(share.Taking, in.config.Name)
+		share.Active = append(share.Active, in.config.Name)
 	}
 	for _, sibling := range in.members.View().Siblings {
 		switch {
 		case sibling.State == member.Alive && !sibling.Draining:
-			share.Taking = append(share.Taking, sibling.Name)
+			share.Active = append(share.Active, sibling.Name)
 		case sibling.State == member.Leaving:
 		case now.Sub(sibling.HeardAnywhere) < silentCountedFor:
 			share.Silent++
@@ -74,12 +74,12 @@
 		}
 	}
 	// An instance that starts while it is cut off knows others only by their addresses.
-	named := len(in.peers.addresses(now)) + 1 - len(share.Taking)
-	if silent = max(share.Silent+silent, named); len(share.Taking) <= silent {
+	named := len(in.peers.addresses(now)) + 1 - len(share.Active)
+	if silent = max(share.Silent+silent, named); len(share.Active) <= silent {
 		share.Silent = silent
 	}
 	if now.Sub(in.started) < in.config.HubGrace {
-		share.Silent = max(share.Silent, assumedInstances-len(share.Taking))
+		share.Silent = max(share.Silent, assumedInstances-len(share.Active))
 	}
 	in.Fleet.Backpressure.SetInstances(share)
 }
@@ -87,5 +87,5 @@
 // pruneBackpressure drops the status reports of servers that are no longer on the list.
 func (in *Instance) pruneBackpressure(now time.Time) {
 	servers := in.servers.Load()
-	in.Fleet.Backpressure.Keep(func(run string) bool { return servers.ByRun[run] != nil }, now)
+	in.Fleet.Backpressure.Prune(func(run string) bool { return servers.ByRun[run] != nil }, now)
 }
--- a/edge/backpressure_test.go
+++ b/edge/backpressure_test.go
@@ -13,14 +13,14 @@
 )
 
 // limitReport returns a server status report with a limit in requests per second.
-func limitReport(perSecond float64) backpressure.Statement {
-	return backpressure.Statement{Kind: backpressure.Plain, Limited: true, Limit: perSecond}
+func limitReport(perSecond float64) backpressure.StatusReport {
+	return backpressure.StatusReport{Kind: backpressure.Plain, Limited: true, Limit: perSecond}
 }
 
 // reportStatus has an instance receive a status report of a server.
-func reportStatus(in *Instance, server string, report backpressure.Statement) {
+func reportStatus(in *Instance, server string, report backpressure.StatusReport) {
 	now := time.Now()
-	in.Fleet.Backpressure.Server(server).Heard(report, now, now)
+	in.Fleet.Backpressure.Server(server).Observe(report, now, now)
 }
 
 // knowsLimited returns a check that an instance knows the given number of limited servers.
@@ -46,7 +46,7 @@
 			t.Errorf("all instances know the limit after %v", took)
 		}
 		time.Sleep(3 * time.Second)
-		reportStatus(f.instances[len(f.instances)/2], "s3", backpressure.Statement{Kind: backpressure.Plain})
+		reportStatus(f.instances[len(f.instances)/2], "s3", backpressure.StatusReport{Kind: backpressure.Plain})
 		if took := f.slowest(knowsLimited(0)); took > statusKnownWithin {
 			t.Errorf("all instances know the end of the limit after %v", took)
 		}
@@ -55,7 +55,7 @@
 			t.Errorf("some instances knew the ended limit again for %v", took)
 		}
 	}
-	reportStatus(f.instances[1], "s4", backpressure.Statement{Kind: backpressure.Plain, Leaving: true})
+	reportStatus(f.instances[1], "s4", backpressure.StatusReport{Kind: backpressure.Plain, Leaving: true})
 	knowsDrain := func(in *Instance) bool { return in.Fleet.Server("s4").Pressure.IsLeaving() }
 	if took := f.slowest(knowsDrain); took > statusKnownWithin {
 		t.Errorf("all instances know the drain after %v", took)
@@ -106,12 +106,12 @@
 func (s *limitedServer) sendRequest(in *Instance) {
 	now := time.Now()
 	known := in.Fleet.Backpressure.Server(s.name)
-	if known.Look(backpressure.PlainWork, now) != backpressure.Clear || known.Send(backpressure.PlainWork, now) != backpressure.Clear {
+	if known.Check(backpressure.PlainWork, now) != backpressure.Clear || known.Send(backpressure.PlainWork, now) != backpressure.Clear {
 		return
 	}
 	s.received = append(s.received, now)
-	report := backpressure.Statement{Kind: backpressure.Plain, Limited: s.limited, Limit: s.limit}
-	known.Heard(report, now, now)
+	report := backpressure.StatusReport{Kind: backpressure.Plain, Limited: s.limited, Limit: s.limit}
+	known.Observe(report, now, now)
 }
 
 // The users' protocol bounds the requests that a limited server receives within limitWindow, from
--- a/edge/beat.go
+++ b/edge/beat.go
@@ -75,7 +75,7 @@
 	switch {
 	case in.hubs.isHub():
 		quick = min(quick, in.config.HubBeatEvery)
-	case in.registry.View().Part && !in.Allotments.Bounds():
+	case in.registry.View().Part && !in.Allotments.AnyLimited():
 		// Changes in the meantime matter to few instances. Urgent ones wake the loop.
 		quick = in.config.KeepEvery
 	}
--- a/edge/budgets.go
+++ b/edge/budgets.go
@@ -53,7 +53,7 @@
 	}
 	b.instances = instances
 	for _, budget := range b.byService {
-		budget.SetPart(b.slackShare(), clock.Now())
+		budget.SetAllowance(b.slackShare(), clock.Now())
 	}
 }
 
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -101,7 +101,7 @@
 func (in *Instance) init() {
 	in.started = clock.Now()
 	in.Fleet = route.NewFleet()
-	in.Fleet.OnCommitted(in.onCommitted)
+	in.Fleet.OnCommitmentChange(in.onCommitted)
 	in.Fleet.Backpressure = backpressure.New(in.deps.Random)
 	in.Fleet.Backpressure.OnChange(in.logBackpressure, in.requestUrgentBeat)
 	in.budgets = newBudgets(in.config.RetryRatio, in.config.RetrySlack, in.config.RetryWindow)
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -278,7 +278,7 @@
 		}
 		used := func(in *Instance) {
 			for i := range 130 {
-				in.Fleet.Server(fmt.Sprintf("d%d", i)).Hold(1000)
+				in.Fleet.Server(fmt.Sprintf("d%d", i)).AddMemory(1000)
 			}
 		}
 		if n := countOrders(enginesOf(140, 260), used, time.Minute); n < 40 {
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -157,7 +157,7 @@
 		now := clock.Now()
 		if late := now.Sub(last) - in.config.Members.HeartbeatEvery; late > in.config.LongPause {
 			klog.InfoS("Cleared failures of servers after this instance was suspended", "pauseMillis", late.Milliseconds(), "suspendedMillis", (clock.Suspended() - suspended).Milliseconds())
-			in.Fleet.Forgive(now)
+			in.Fleet.ResetFailures(now)
 		}
 		last, suspended = now, clock.Suspended()
 		clock.Check()
@@ -176,7 +176,7 @@
 		in.sumLoads()
 		in.budgets.setInstances(in.budgetInstances(now))
 		in.forgetSiblings()
-		if now.Sub(shared) >= in.config.ReviewEvery || in.Fleet.Backpressure.Holds() {
+		if now.Sub(shared) >= in.config.ReviewEvery || in.Fleet.Backpressure.AnyRestricted() {
 			shared = now
 			in.updateLimitSharing(now)
 		}
--- a/edge/hubbeat.go
+++ b/edge/hubbeat.go
@@ -186,7 +186,7 @@
 	message.Hubs = true
 	message.Changing = in.peers.allUnderWay(now)
 	instances := in.Instances()
-	teams := in.Allotments.Levels(in.config.TeamsAtOnce, now)
+	teams := in.Allotments.Balances(in.config.TeamsAtOnce, now)
 	news := urgent || message.Poison != nil || message.Pressure != nil || len(message.Changing) > 0 || len(teams) > 0
 	repeat := newRepetition(view, in.config.Zone, in.config.RepeatedAtOnce, now)
 	for _, to := range subscribers {
--- a/edge/hubs_test.go
+++ b/edge/hubs_test.go
@@ -88,7 +88,7 @@
 	manyInstances(t, func(t *testing.T, f *fleet) {
 		total := 0
 		for i, in := range f.instances {
-			in.Fleet.Server("s3").Hold(1000 + i)
+			in.Fleet.Server("s3").AddMemory(1000 + i)
 			total += 1000 + i
 		}
 		others := othersMemoryAt("s3")
@@ -97,7 +97,7 @@
 			t.Errorf("all instances know the commitments after %v", took)
 		}
 		for _, in := range f.instances {
-			in.Fleet.Server("s3").Hold(-in.Fleet.Server("s3").Own().Memory)
+			in.Fleet.Server("s3").AddMemory(-in.Fleet.Server("s3").Own().Memory)
 		}
 		if took := f.slowest(func(in *Instance) bool { return in.Fleet.Server("s3").Others() == (route.Commitment{}) }); took > 700*time.Millisecond {
 			t.Errorf("all instances know the release after %v", took)
@@ -182,7 +182,7 @@
 				t.Errorf("%s knows %d live siblings, there are %d", in.config.Name, aliveSiblings(in), want)
 			}
 		}
-		f.instances[0].Fleet.Server("s3").Hold(5000)
+		f.instances[0].Fleet.Server("s3").AddMemory(5000)
 		others := othersMemoryAt("s3")
 		unlessSilent := func(holds func(in *Instance) bool) func(in *Instance) bool {
 			return func(in *Instance) bool { return silent[in.config.SiblingAddress] || holds(in) }
@@ -288,7 +288,7 @@
 	}
 	f.await("all instances know each other", knowAll)
 	for i, in := range f.instances {
-		in.Fleet.Server("s3").Hold(1000 + i)
+		in.Fleet.Server("s3").AddMemory(1000 + i)
 	}
 	f.store.register("s4", true)
 	f.store.configure()
--- a/edge/orders.go
+++ b/edge/orders.go
@@ -134,14 +134,14 @@
 			continue
 		}
 		if given, ok := o.sent[known.Name]; ok && now.Sub(given.at) < service.Engine.Switch+orderGrace {
-			if known.Unreached = given.unreached; !given.unreached {
-				known.Ordered = given.role
+			if known.Unreachable = given.unreached; !given.unreached {
+				known.PendingRole = given.role
 			}
 		}
 		engines = append(engines, known)
 	}
 	change, needed := roles.Next(engines, o.config.PrefillShare)
-	if many := max(change.Prefill-change.Want, change.Want-change.Prefill) > ungatedChanges; needed && many {
+	if many := max(change.Prefill-change.WantPrefill, change.WantPrefill-change.Prefill) > ungatedChanges; needed && many {
 		return change, o.inDemand(engines, change.Role, now)
 	}
 	return change, needed
@@ -216,7 +216,7 @@
 		return err
 	}
 	klog.InfoS("Role order sent", "service", service, "server", change.Engine, "role", change.Role, "token", order.Token,
-		"after", order.After, "prefill", change.Prefill, "decode", change.Decode, "wantPrefill", change.Want, "accepted", err == nil)
+		"after", order.After, "prefill", change.Prefill, "decode", change.Decode, "wantPrefill", change.WantPrefill, "accepted", err == nil)
 	if errors.Is(err, engine.ErrStale) {
 		delete(o.leases, service)
 	}
@@ -232,7 +232,7 @@
 	}
 	until := clock.Now().Add(view.Services[service].Engine.Switch)
 	if server := o.Fleet.Server(engine); server != nil {
-		server.Changing(until)
+		server.SetRoleChangeUntil(until)
 	}
 	o.peers.addOwnChange(route.ServerID(engine), until)
 	o.sendHeartbeats()
--- a/edge/poison.go
+++ b/edge/poison.go
@@ -29,7 +29,7 @@
 // sendFullPoison sends all records of suspect requests to an instance that has just appeared. It
 // may have restarted without any records, or have been cut off.
 func (in *Instance) sendFullPoison(to member.Info, now time.Time) {
-	for _, update := range in.Poison.Whole(now) {
+	for _, update := range in.Poison.FullUpdates(now) {
 		message := in.message(now)
 		message.Poison = update
 		in.send(message, to.Peer)
--- a/edge/servers.go
+++ b/edge/servers.go
@@ -76,7 +76,7 @@
 			continue
 		}
 		most := service.ColdRate*in.config.ColdOverage + in.config.ColdSlack
-		in.Fleet.Server(server.Run()).Pressure.Cold(service.ColdRate, most, server.ColdUntil, now)
+		in.Fleet.Server(server.Run()).Pressure.SetCold(service.ColdRate, most, server.ColdUntil, now)
 	}
 }
 
--- a/edge/siblings.go
+++ b/edge/siblings.go
@@ -145,7 +145,7 @@
 		until := now.Add(min(change.Left, longestChange))
 		in.peers.addSiblingChange(change.Server, until)
 		if server := in.Fleet.ServerByID(change.Server); server != nil {
-			server.Changing(until)
+			server.SetRoleChangeUntil(until)
 		}
 	}
 	in.mergePoison(message, now)
--- a/edge/teams.go
+++ b/edge/teams.go
@@ -42,21 +42,21 @@
 func (in *Instance) applySpent(message heartbeat.Message, now time.Time) {
 	from := message.From
 	if len(message.Spent) > 0 {
-		in.Allotments.Heard(from.Name, uint64(from.Incarnation), message.Spent, from.Zone == in.config.Zone, now)
+		in.Allotments.ApplySpent(from.Name, uint64(from.Incarnation), message.Spent, from.Zone == in.config.Zone, now)
 	}
 	digest := message.Digest
 	switch {
 	case digest == nil || !digest.Summed:
 	case digest.Zone:
-		in.Allotments.HeardZone(from.Name, uint64(from.Incarnation), digest.Teams, now)
+		in.Allotments.ApplyZone(from.Name, uint64(from.Incarnation), digest.Teams, now)
 	default:
 		next := in.adopted.Load().next(now)
 		in.adopted.Store(&next)
-		update := allotment.Word{Levels: digest.Teams, Known: in.started.Add(digest.Echo)}
+		update := allotment.HubUpdate{Levels: digest.Teams, Known: in.started.Add(digest.Echo)}
 		if in.followsHub() {
 			update.Due = now.Add(next.pause(in.config.HubBeatEvery))
 		}
-		in.Allotments.Adopt(update, now)
+		in.Allotments.ApplyHubUpdate(update, now)
 	}
 }
 
@@ -113,7 +113,7 @@
 		in.Allotments.SetShare(in.followedShare(now), now)
 		return
 	}
-	in.Allotments.DropWord(now)
+	in.Allotments.DropHub(now)
 	in.Allotments.SetShare(in.contactShare(now), now)
 }
 
--- a/edge/teams_test.go
+++ b/edge/teams_test.go
@@ -71,8 +71,8 @@
 	l.admitted += cost
 	l.at, l.cost = append(l.at, time.Now()), append(l.cost, cost)
 	server := in.Fleet.Server("s3")
-	server.Hold(int(cost))
-	time.AfterFunc(time.Second, func() { server.Hold(-int(cost)) })
+	server.AddMemory(int(cost))
+	time.AfterFunc(time.Second, func() { server.AddMemory(-int(cost)) })
 }
 
 // worstWindow returns the most tokens that were admitted in any window, relative to the tolerated
--- a/edge/uses_test.go
+++ b/edge/uses_test.go
@@ -205,14 +205,14 @@
 		id := manyID(10)
 		users := f.users(id)
 		for _, in := range users {
-			in.Fleet.Server(id).Hold(1000)
+			in.Fleet.Server(id).AddMemory(1000)
 		}
 		time.Sleep(700 * time.Millisecond)
 		for _, in := range users {
 			if others := in.Fleet.Server(id).Others().Memory; others != 1000*(len(users)-1) {
 				t.Errorf("%s knows commitments of %d tokens, not of %d", in.config.Name, others, 1000*(len(users)-1))
 			}
-			in.Fleet.Server(id).Hold(-1000)
+			in.Fleet.Server(id).AddMemory(-1000)
 		}
 		time.Sleep(time.Second)
 		for _, in := range users {
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -110,8 +110,8 @@
 	// Pieces and FreePieces count memory pieces.
 	Pieces     int `json:"pieces"`
 	FreePieces int `json:"free_pieces"`
-	// Leaving is set once the engine is draining.
-	Leaving bool `json:"leaving"`
+	// Draining is set once the engine is draining.
+	Draining bool `json:"leaving"`
 	// Weights is the name of the loaded version, and Loading the name of the
 	// version that is being loaded.
 	Weights string `json:"weights,omitempty"`
--- a/forward/crowd_engines_test.go
+++ b/forward/crowd_engines_test.go
@@ -191,8 +191,8 @@
 // simBackends implements Backends on the engines of a simulation.
 type simBackends struct{ *simulation }
 
-// HasEnded implements Backends. No engine exits.
-func (simBackends) HasEnded(context.Context, *registry.Entry) bool { return false }
+// HasExited implements Backends. No engine exits.
+func (simBackends) HasExited(context.Context, *registry.Entry) bool { return false }
 
 // Call implements Backends.
 func (simBackends) Call(context.Context, *registry.Entry, *Request, time.Time) (*Answer, error) {
@@ -205,7 +205,7 @@
 	if reservation, ok := c.engines[server.ID].reserve(tokens); ok {
 		return reservation, nil
 	}
-	return "", &NotRun{Why: reason.BackendRefused, Sent: true, Detail: "full"}
+	return "", &NotRunError{Why: reason.BackendRefused, Sent: true, Detail: "full"}
 }
 
 // Release implements Backends.
@@ -218,7 +218,7 @@
 }
 
 // Prefill implements Backends.
-func (c simBackends) Prefill(_ context.Context, server *registry.Entry, r *Request, _ time.Time) (Prefilled, error) {
+func (c simBackends) Prefill(_ context.Context, server *registry.Entry, r *Request, _ time.Time) (PrefillHandle, error) {
 	engine := c.engines[server.ID]
 	engine.mu.Lock()
 	now := time.Now()
@@ -233,15 +233,15 @@
 }
 
 // Move implements Backends.
-func (simBackends) Move(context.Context, *registry.Entry, *registry.Entry, *Request, bool) (Prefilled, error) {
-	return "", &NotRun{Why: reason.BackendRefused, Sent: true}
+func (simBackends) Move(context.Context, *registry.Entry, *registry.Entry, *Request, bool) (PrefillHandle, error) {
+	return "", &NotRunError{Why: reason.BackendRefused, Sent: true}
 }
 
 // Free implements Backends.
-func (simBackends) Free(context.Context, *registry.Entry, Prefilled) error { return nil }
+func (simBackends) Free(context.Context, *registry.Entry, PrefillHandle) error { return nil }
 
 // Decode implements Backends.
-func (c simBackends) Decode(ctx context.Context, server *registry.Entry, r *Request, order DecodeOrder, _ time.Time) (*Stream, error) {
+func (c simBackends) Decode(ctx context.Context, server *registry.Entry, r *Request, order DecodeRequest, _ time.Time) (*Stream, error) {
 	engine := c.engines[server.ID]
 	var events int
 	if _, err := fmt.Sscan(r.Target, &events); err != nil {
--- a/forward/crowd_teams_test.go
+++ b/forward/crowd_teams_test.go
@@ -28,8 +28,8 @@
 	return allotment.Decision{Admitted: true, Team: team, Cost: cost, Used: used}
 }
 
-// Return implements Allotments.
-func (simAllotments) Return(string, float64, time.Time) {}
+// Refund implements Allotments.
+func (simAllotments) Refund(string, float64, time.Time) {}
 
 // setTeams adds the two teams to the simulation's table.
 func (c *simulation) setTeams() {
@@ -61,7 +61,7 @@
 func TestAQuietTeamFindsRoomBesideAHotOne(t *testing.T) {
 	discardLogs(t)
 	noYield := DefaultConfig()
-	noYield.TeamYield = 0
+	noYield.TeamHeadroom = 0
 	served := func(config Config) (ofQuiet, ofAll float64) {
 		var inTime, asked, all, allAsked int
 		for seed := range uint64(simSeeds) {
--- a/forward/decision.go
+++ b/forward/decision.go
@@ -22,7 +22,7 @@
 	outcome string
 	inputs  []any
 	// rated holds the rated candidates of a server choice; nil for other steps.
-	rated []route.Rated
+	rated []route.ScoredCandidate
 	// servers is the view of the servers that the decision used.
 	servers *Servers
 	// viewAge is the time from the moment the view was last known to be current until the
@@ -128,7 +128,7 @@
 
 // formatCandidates formats the candidates of a choice: each server with its score, or with the
 // filter that dropped it.
-func formatCandidates(rated []route.Rated) string {
+func formatCandidates(rated []route.ScoredCandidate) string {
 	var text strings.Builder
 	for i, one := range rated {
 		if i > 0 {
--- a/forward/flow.go
+++ b/forward/flow.go
@@ -117,7 +117,7 @@
 }
 
 // choose selects one of the servers by a profile; nil if all were dropped.
-func (f *flow) choose(profile *route.Profile, from pool) *route.Rated {
+func (f *flow) choose(profile *route.Profile, from pool) *route.ScoredCandidate {
 	return f.chooseFor(f.query(), profile, from)
 }
 
@@ -131,7 +131,7 @@
 }
 
 // chooseFor is like choose, for a query with additional constraints.
-func (f *flow) chooseFor(query *route.Query, profile *route.Profile, from pool) *route.Rated {
+func (f *flow) chooseFor(query *route.Query, profile *route.Profile, from pool) *route.ScoredCandidate {
 	f.servers = f.View.Servers()
 	f.unavailable, f.availableAt = reason.None, time.Time{}
 	query.Work = from.work
@@ -144,26 +144,26 @@
 	}
 	made := profile.Decide(query, f.Fleet, within)
 	outcome := made.Pick
-	if made.Chosen == nil {
+	if made.Selected == nil {
 		outcome = "none"
 		f.recordUnavailable(query, made.Rated)
 	}
-	if f.isProbe() && made.Chosen != nil {
-		made.Chosen = fewestRunning(made.Rated)
-		made.Pick = made.Chosen.Name
+	if f.isProbe() && made.Selected != nil {
+		made.Selected = fewestRunning(made.Rated)
+		made.Pick = made.Selected.Name
 		outcome = made.Pick
 	}
 	f.recordDecision(decision{at: query.Now, step: stepChoose, outcome: outcome, rated: made.Rated})
-	if made.Chosen != nil {
+	if made.Selected != nil {
 		f.entries[made.Pick] = f.servers.ByRun[made.Pick]
 	}
-	return made.Chosen
+	return made.Selected
 }
 
 // recordUnavailable records whether a choice found no server only because of limits and
 // backoff that the servers reported.
-func (f *flow) recordUnavailable(query *route.Query, rated []route.Rated) {
-	why, opens := route.HeldBack(query, rated)
+func (f *flow) recordUnavailable(query *route.Query, rated []route.ScoredCandidate) {
+	why, opens := route.BackpressureRefusal(query, rated)
 	if f.unavailable = why; why != reason.None {
 		f.availableAt = query.Now.Add(opens)
 	}
@@ -171,12 +171,12 @@
 
 // entry returns the registry entry that a selected server had when it was selected. The server
 // may be gone from the list by now.
-func (f *flow) entry(chosen *route.Rated) *registry.Entry { return f.entries[chosen.Name] }
+func (f *flow) entry(chosen *route.ScoredCandidate) *registry.Entry { return f.entries[chosen.Name] }
 
 // retryAfter returns the delay after which a refused caller should come back.
 func (f *flow) retryAfter(why reason.Reason) time.Duration {
 	if why == reason.Stopping {
-		return f.config.RetryElsewhere
+		return f.config.StoppingRetryDelay
 	}
 	left := float64(clock.Until(f.request.Deadline))
 	spread := f.Random() * (f.config.RetryLatest - f.config.RetryEarliest)
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -71,8 +71,8 @@
 	io.ReadCloser
 }
 
-// NotRun is the error of a call that the backend server did not run and never will run.
-type NotRun struct {
+// NotRunError is the error of a call that the backend server did not run and never will run.
+type NotRunError struct {
 	Why reason.Reason
 	// Sent reports whether the request reached the server.
 	Sent bool
@@ -86,20 +86,20 @@
 }
 
 // Error implements error.
-func (e *NotRun) Error() string { return "not run: " + string(e.Why) + ": " + e.Detail }
+func (e *NotRunError) Error() string { return "not run: " + string(e.Why) + ": " + e.Detail }
 
 // Reservation identifies KV memory and a slot that are reserved at a decode engine.
 type Reservation string
 
-// Prefilled identifies the result of a prefill, which is kept at its engine.
-type Prefilled string
+// PrefillHandle identifies the result of a prefill, which is kept at its engine.
+type PrefillHandle string
 
-// DecodeOrder tells a decode engine where to get a request's KV cache.
-type DecodeOrder struct {
+// DecodeRequest tells a decode engine where to get a request's KV cache.
+type DecodeRequest struct {
 	// Source is the engine that holds the result; nil if the decode engine reads the prompt
 	// itself.
 	Source      *registry.Entry
-	Result      Prefilled
+	Result      PrefillHandle
 	Reservation Reservation
 	LastEvent   string
 }
@@ -114,20 +114,20 @@
 	// Release releases a reservation.
 	Release(ctx context.Context, server *registry.Entry, reservation Reservation) error
 	// Prefill has an engine read the prompt. It does not run the request.
-	Prefill(ctx context.Context, server *registry.Entry, r *Request, deadline time.Time) (Prefilled, error)
+	Prefill(ctx context.Context, server *registry.Entry, r *Request, deadline time.Time) (PrefillHandle, error)
 	// Free releases the result of a prefill.
-	Free(ctx context.Context, server *registry.Entry, result Prefilled) error
-	// HasEnded reports whether a server's process has exited, which means that its address
+	Free(ctx context.Context, server *registry.Entry, result PrefillHandle) error
+	// HasExited reports whether a server's process has exited, which means that its address
 	// refuses connections. It returns false for a server that is silent or whose address
 	// cannot be reached.
-	HasEnded(ctx context.Context, server *registry.Entry) bool
+	HasExited(ctx context.Context, server *registry.Entry) bool
 	// Move copies the memory of a run to another engine. With last set the run is stopped
 	// first, and its stream ends without an end marker. If the error is a *NotRun the result
 	// may be set nevertheless: then the run has stopped, and its memory is kept at the engine
 	// where it ran.
-	Move(ctx context.Context, from, to *registry.Entry, r *Request, last bool) (Prefilled, error)
+	Move(ctx context.Context, from, to *registry.Entry, r *Request, last bool) (PrefillHandle, error)
 	// Decode runs the request and returns its stream.
-	Decode(ctx context.Context, server *registry.Entry, r *Request, order DecodeOrder, deadline time.Time) (*Stream, error)
+	Decode(ctx context.Context, server *registry.Entry, r *Request, order DecodeRequest, deadline time.Time) (*Stream, error)
 }
 
 // Reply is the answer to the caller.
--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -72,33 +72,33 @@
 	// caused the refusals is over.
 	RetryEarliest float64
 	RetryLatest   float64
-	// LandingMargin is the time kept between the expected first token and its target, for the
+	// FirstTokenMargin is the time kept between the expected first token and its target, for the
 	// transfer and the first decode step.
-	LandingMargin time.Duration
-	// LastCalls is how long before the end of a graceful shutdown plain requests are no longer
+	FirstTokenMargin time.Duration
+	// PlainShutdownMargin is how long before the end of a graceful shutdown plain requests are no longer
 	// accepted. Nearly all plain requests take less time.
-	LastCalls time.Duration
-	// RetryElsewhere is the retry delay for callers that a stopping instance refuses. It is
+	PlainShutdownMargin time.Duration
+	// StoppingRetryDelay is the retry delay for callers that a stopping instance refuses. It is
 	// short because other instances can serve them at once.
-	RetryElsewhere time.Duration
+	StoppingRetryDelay time.Duration
 	// StreamGrace is how long after the start of a graceful shutdown streams are still
 	// accepted. Later streams might not end before the instance does.
 	StreamGrace time.Duration
-	// HintMargin is the fraction of the tokens expected to be generated for which memory is
+	// LengthEstimateMargin is the fraction of the tokens expected to be generated for which memory is
 	// reserved. With less, requests outgrow their reservation and are preempted. With more,
 	// less memory is left for others.
-	HintMargin float64
-	// TeamYield is how much more of an engine's memory the requests of a team leave free once
+	LengthEstimateMargin float64
+	// TeamHeadroom is how much more of an engine's memory the requests of a team leave free once
 	// the team has used up its allotment, as a fraction of what all requests leave free. A
 	// larger value keeps room for teams that send little next to a busy team, and refuses more
 	// requests of the busy team.
-	TeamYield float64
-	// LateReading is how long after the first-token target a prefill may still end. A late
+	TeamHeadroom float64
+	// LatePrefillGrace is how long after the first-token target a prefill may still end. A late
 	// stream still has value for its caller.
-	LateReading time.Duration
-	// HandleMargin is how long before a prefill result expires it is no longer handed to
+	LatePrefillGrace time.Duration
+	// PrefillExpiryMargin is how long before a prefill result expires it is no longer handed to
 	// another engine. A reservation and the transfer take that long.
-	HandleMargin time.Duration
+	PrefillExpiryMargin time.Duration
 	// EventPause is the assumed pause between two events of a stream until pauses have been
 	// observed (source: the users' sheets, 64 tokens of 0.8 ms).
 	EventPause time.Duration
@@ -111,22 +111,22 @@
 // DefaultConfig returns values that suit the sizes in the users' sheets.
 func DefaultConfig() Config {
 	return Config{
-		ReserveTimeout: 150 * time.Millisecond,
-		ReserveTries:   3,
-		ReservePause:   40 * time.Millisecond,
-		CleanupTimeout: time.Second,
-		RefuseWithin:   0.25,
-		RetryEarliest:  0.16,
-		RetryLatest:    0.32,
-		LandingMargin:  150 * time.Millisecond,
-		LastCalls:      1600 * time.Millisecond,
-		RetryElsewhere: 50 * time.Millisecond,
-		StreamGrace:    2500 * time.Millisecond,
-		HintMargin:     0.6,
-		TeamYield:      1,
-		LateReading:    600 * time.Millisecond,
-		EventPause:     60 * time.Millisecond,
-		HandleMargin:   100 * time.Millisecond,
+		ReserveTimeout:       150 * time.Millisecond,
+		ReserveTries:         3,
+		ReservePause:         40 * time.Millisecond,
+		CleanupTimeout:       time.Second,
+		RefuseWithin:         0.25,
+		RetryEarliest:        0.16,
+		RetryLatest:          0.32,
+		FirstTokenMargin:     150 * time.Millisecond,
+		PlainShutdownMargin:  1600 * time.Millisecond,
+		StoppingRetryDelay:   50 * time.Millisecond,
+		StreamGrace:          2500 * time.Millisecond,
+		LengthEstimateMargin: 0.6,
+		TeamHeadroom:         1,
+		LatePrefillGrace:     600 * time.Millisecond,
+		EventPause:           60 * time.Millisecond,
+		PrefillExpiryMargin:  100 * time.Millisecond,
 
 		AllotmentSpread: time.Second,
 	}
--- a/forward/generate.go
+++ b/forward/generate.go
@@ -39,11 +39,11 @@
 	stallTimer *time.Timer
 	cancelRun  context.CancelFunc
 
-	prefill *route.Rated
-	decode  *route.Rated
+	prefill *route.ScoredCandidate
+	decode  *route.ScoredCandidate
 	// reservation and result are resources that the request holds and has not used yet.
 	reservation Reservation
-	result      Prefilled
+	result      PrefillHandle
 	// readAt is when the prefill result was ready.
 	readAt time.Time
 	// committed is the memory that is accounted to the request at the decode engine, in
@@ -72,9 +72,9 @@
 		since: f.request.Arrived, target: f.request.Arrived.Add(f.route.TTFT),
 		resumed: f.request.LastEvent != "",
 	}
-	g.expected = f.lengthsOf(f.service.Name).Guessed(expectedLength(f.request.Generation))
+	g.expected = f.lengthsOf(f.service.Name).ExpectedTokens(expectedLength(f.request.Generation))
 	g.need = expectedMemory(f.request.Generation, g.expected, f.margin())
-	f.sizesOf(f.service.Name).Asked(g.need, g.expected)
+	f.sizesOf(f.service.Name).RecordStart(g.need, g.expected)
 	stream, failed := g.run()
 	for failed != nil && failed.unknownOutcome != nil && g.mayRerun() {
 		stream, failed = g.rerun(failed.unknownOutcome)
@@ -127,7 +127,7 @@
 	if err := g.checkSend(); err != nil {
 		return nil, sendStepError(err)
 	}
-	order := DecodeOrder{Reservation: g.reservation, LastEvent: g.request.LastEvent}
+	order := DecodeRequest{Reservation: g.reservation, LastEvent: g.request.LastEvent}
 	unread := 0
 	if g.result != "" {
 		order.Source, order.Result = g.entry(g.prefill), g.result
@@ -144,7 +144,7 @@
 		g.reservation, g.result = "", ""
 		return stream, nil
 	}
-	var notRun *NotRun
+	var notRun *NotRunError
 	if errors.As(err, &notRun) {
 		g.runs--
 		return g.retryRefusedDecode(notRun)
@@ -156,12 +156,12 @@
 
 // decodeOnce has the decode engine run the request once. unread is the number of prompt tokens
 // that the engine still has to read.
-func (g *generation) decodeOnce(order DecodeOrder, unread int) (*Stream, error) {
+func (g *generation) decodeOnce(order DecodeRequest, unread int) (*Stream, error) {
 	server := g.decode.Server
 	g.sentTo = append(g.sentTo, g.decode.Name)
-	done := server.Begin(0)
-	g.endPromptRead = sync.OnceFunc(server.Unread(unread))
-	endAwait := server.Await(clock.Now())
+	done := server.RequestSent(0)
+	g.endPromptRead = sync.OnceFunc(server.AddUnread(unread))
+	endAwait := server.AwaitAnswer(clock.Now())
 	var ctx context.Context
 	ctx, g.cancelRun = g.watchForStall()
 	g.sentAt = clock.Now()
--- a/forward/handoff_test.go
+++ b/forward/handoff_test.go
@@ -11,14 +11,14 @@
 )
 
 // misdirected returns the error of an engine that is not the one the request is for.
-func misdirected(string, DecodeOrder) error {
-	return &NotRun{Why: reason.HandoffRefused, Sent: true, Misdirected: true, Detail: "status 421"}
+func misdirected(string, DecodeRequest) error {
+	return &NotRunError{Why: reason.HandoffRefused, Sent: true, Misdirected: true, Detail: "status 421"}
 }
 
 func TestPrefillResultGoesToAnotherEngineAfterMisdirectedHandoff(t *testing.T) {
 	withBench(t, func(b *bench) {
 		first := ""
-		b.engines.decode = func(server string, order DecodeOrder) error {
+		b.engines.decode = func(server string, order DecodeRequest) error {
 			if first == "" {
 				first = server
 				return misdirected(server, order)
@@ -45,7 +45,7 @@
 
 func TestExpiredPrefillResultIsNotHandedOff(t *testing.T) {
 	withBench(t, func(b *bench) {
-		b.engines.decode = func(server string, order DecodeOrder) error {
+		b.engines.decode = func(server string, order DecodeRequest) error {
 			time.Sleep(450 * time.Millisecond)
 			return misdirected(server, order)
 		}
@@ -95,11 +95,11 @@
 func TestEngineThatDrainsWhileRequestWaitsForMemoryIsNotReserved(t *testing.T) {
 	withBench(t, func(b *bench) {
 		for _, id := range []string{"d1", "d2"} {
-			b.Fleet.Server(id).Hold(testMemoryTokens)
+			b.Fleet.Server(id).AddMemory(testMemoryTokens)
 		}
 		time.AfterFunc(testTTFT/8, func() {
 			b.drain("d1")
-			b.Fleet.Server("d1").Hold(-testMemoryTokens)
+			b.Fleet.Server("d1").AddMemory(-testMemoryTokens)
 		})
 		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 503 || b.callCount("reserve") != 0 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
@@ -122,7 +122,7 @@
 			}
 			return nil
 		}
-		b.engines.decode = func(_ string, order DecodeOrder) error {
+		b.engines.decode = func(_ string, order DecodeRequest) error {
 			if order.Source == nil || order.Result == "" {
 				t.Errorf("the prefill result was not used: %+v", order)
 			}
@@ -139,14 +139,14 @@
 func TestPrefillAtDecodeAfterFailedHandoffGetsNewReservation(t *testing.T) {
 	withBench(t, func(b *bench) {
 		used := 0
-		b.engines.decode = func(_ string, order DecodeOrder) error {
+		b.engines.decode = func(_ string, order DecodeRequest) error {
 			reserved := b.callCount("reserve")
 			if order.Reservation == "" || reserved == used {
-				return &NotRun{Why: reason.HandoffRefused, Sent: true, Detail: "status 503"}
+				return &NotRunError{Why: reason.HandoffRefused, Sent: true, Detail: "status 503"}
 			}
 			used = reserved
 			if order.Result != "" {
-				return &NotRun{Why: reason.HandoffRefused, Sent: true, Detail: "status 503"}
+				return &NotRunError{Why: reason.HandoffRefused, Sent: true, Detail: "status 503"}
 			}
 			return nil
 		}
@@ -162,18 +162,18 @@
 // it held is released.
 func TestPrefillAtDecodeAfterFailedHandoffIsRefusedWithoutMemory(t *testing.T) {
 	withBench(t, func(b *bench) {
-		b.engines.decode = func(string, DecodeOrder) error {
+		b.engines.decode = func(string, DecodeRequest) error {
 			for _, id := range []string{"d1", "d2"} {
-				b.Fleet.Server(id).Hold(testMemoryTokens)
+				b.Fleet.Server(id).AddMemory(testMemoryTokens)
 			}
-			return &NotRun{Why: reason.HandoffRefused, Sent: true, Detail: "status 503"}
+			return &NotRunError{Why: reason.HandoffRefused, Sent: true, Detail: "status 503"}
 		}
 		reply := b.serve(b.generation("a", testPromptTokens))
 		if reply.Status != 503 || reply.RetryAfter == 0 || b.callCount("decode") != 1 || b.callCount("release") != 1 || b.callCount("free") != 1 {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
 		for _, id := range []string{"d1", "d2"} {
-			b.Fleet.Server(id).Hold(-testMemoryTokens)
+			b.Fleet.Server(id).AddMemory(-testMemoryTokens)
 		}
 		b.checkNothingHeld()
 	})
--- a/forward/harness_test.go
+++ b/forward/harness_test.go
@@ -35,9 +35,9 @@
 
 	reserve func(server string) error
 	prefill func(server string) error
-	decode  func(server string, order DecodeOrder) error
+	decode  func(server string, order DecodeRequest) error
 	call    func(server string) (*Answer, error)
-	move    func(from, to string, last bool) (Prefilled, error)
+	move    func(from, to string, last bool) (PrefillHandle, error)
 	// statusOf returns the HTTP status of a stream; nil means 200.
 	statusOf func(server string) int
 	// stream returns the body of a stream, which ends with an error or io.EOF.
@@ -48,7 +48,7 @@
 	crashed map[string]bool
 }
 
-func (e *engines) HasEnded(_ context.Context, server *registry.Entry) bool {
+func (e *engines) HasExited(_ context.Context, server *registry.Entry) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.crashed[server.ID]
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func (e *engines) Prefill(ctx context.Context, server *registry.Entry, _ *Request, _ time.Time) (Prefilled, error) {
+func (e *engines) Prefill(ctx context.Context, server *registry.Entry, _ *Request, _ time.Time) (PrefillHandle, error) {
 	e.record("prefill", server.ID)
 	select {
 	case <-time.After(e.prefillTime):
@@ -102,10 +102,10 @@
 			return "", err
 		}
 	}
-	return Prefilled("p-" + server.ID), nil
+	return PrefillHandle("p-" + server.ID), nil
 }
 
-func (e *engines) Move(_ context.Context, from, to *registry.Entry, r *Request, last bool) (Prefilled, error) {
+func (e *engines) Move(_ context.Context, from, to *registry.Entry, r *Request, last bool) (PrefillHandle, error) {
 	step := "copy"
 	if last {
 		step = "stop"
@@ -114,15 +114,15 @@
 	if e.move != nil {
 		return e.move(from.ID, to.ID, last)
 	}
-	return Prefilled("m-" + from.ID), nil
+	return PrefillHandle("m-" + from.ID), nil
 }
 
-func (e *engines) Free(_ context.Context, server *registry.Entry, _ Prefilled) error {
+func (e *engines) Free(_ context.Context, server *registry.Entry, _ PrefillHandle) error {
 	e.record("free", server.ID)
 	return nil
 }
 
-func (e *engines) Decode(ctx context.Context, server *registry.Entry, _ *Request, order DecodeOrder, _ time.Time) (*Stream, error) {
+func (e *engines) Decode(ctx context.Context, server *registry.Entry, _ *Request, order DecodeRequest, _ time.Time) (*Stream, error) {
 	e.record("decode", server.ID)
 	if e.decode != nil {
 		if err := e.decode(server.ID, order); err != nil {
--- a/forward/learn.go
+++ b/forward/learn.go
@@ -12,7 +12,7 @@
 // not. A call that was not sent changes nothing.
 func (f *flow) updateServer(server *route.Server, err error) {
 	now := clock.Now()
-	var notRun *NotRun
+	var notRun *NotRunError
 	if errors.As(err, &notRun) && notRun.Withheld {
 		return
 	}
@@ -21,21 +21,21 @@
 	}
 	switch {
 	case err == nil:
-		server.Heard(now)
+		server.RecordContact(now)
 		server.Accepted()
 		server.Breaker.Success()
 	case errors.As(err, &notRun) && notRun.Misdirected:
-		server.Heard(now)
+		server.RecordContact(now)
 		server.Misdirected(now)
 	case errors.As(err, &notRun) && notRun.Sent:
-		server.Heard(now)
+		server.RecordContact(now)
 		server.Refused(now)
 	case errors.As(err, &notRun):
 		server.Unreached(now)
 		server.Breaker.Failure(now)
-	case server.Pressure.IsResting(now):
+	case server.Pressure.IsBackingOff(now):
 		// The server requested the backoff, so this is no failure.
-		server.Heard(now)
+		server.RecordContact(now)
 	default:
 		server.Breaker.Failure(now)
 	}
--- a/forward/memory.go
+++ b/forward/memory.go
@@ -56,7 +56,7 @@
 			g.record(stepReserve, "ok", "server", chosen.Name, "free", route.FreeTokens(chosen.Candidate))
 			g.decode, g.reservation = chosen, reservation
 			g.committed = g.need
-			chosen.Server.Hold(g.need)
+			chosen.Server.AddMemory(g.need)
 			return nil
 		}
 		g.record(stepReserve, err.Error(), "server", chosen.Name, "free", route.FreeTokens(chosen.Candidate))
@@ -98,7 +98,7 @@
 
 // yield returns how much memory the request leaves free for others, as a multiple of the
 // spare.
-func (g *generation) yield() float64 { return route.Yield(g.allotmentUsed, g.config.TeamYield) }
+func (g *generation) yield() float64 { return route.TeamFactor(g.allotmentUsed, g.config.TeamHeadroom) }
 
 // spare returns the fraction of an engine's memory that must stay free beside the request, for
 // requests that outgrow their expected size.
@@ -111,10 +111,10 @@
 	return sizes.Spare(memory)
 }
 
-func (g *generation) requestReservation(chosen *route.Rated) (Reservation, error) {
+func (g *generation) requestReservation(chosen *route.ScoredCandidate) (Reservation, error) {
 	ctx, cancel := context.WithTimeout(g.ctx, g.config.ReserveTimeout)
 	defer cancel()
-	defer chosen.Server.Await(clock.Now())()
+	defer chosen.Server.AwaitAnswer(clock.Now())()
 	reservation, err := g.Backends.Reserve(ctx, g.entry(chosen), g.need, g.service.Engine.Hold)
 	if g.ctx.Err() == nil {
 		g.updateServer(chosen.Server, err)
@@ -127,7 +127,7 @@
 	if tokens <= g.committed {
 		return
 	}
-	g.decode.Server.Hold(tokens - g.committed)
+	g.decode.Server.AddMemory(tokens - g.committed)
 	g.committed = tokens
 }
 
@@ -140,7 +140,7 @@
 // uncommit ends the accounting for the request's memory at the decode engine.
 func (g *generation) uncommit() {
 	if g.decode != nil {
-		g.decode.Server.Hold(-g.committed)
+		g.decode.Server.AddMemory(-g.committed)
 	}
 	g.committed = 0
 }
@@ -175,7 +175,7 @@
 // holder returns the entry of the server run that still holds a resource of the request. It
 // returns nil if nothing is held, or if the server was restarted: the same name may now
 // identify a resource of another request.
-func (g *generation) holder(at *route.Rated, what string) *registry.Entry {
+func (g *generation) holder(at *route.ScoredCandidate, what string) *registry.Entry {
 	if what == "" {
 		return nil
 	}
@@ -199,7 +199,7 @@
 // The errors of length estimates over all streams of a service add up as a square root, so
 // each engine has to keep less of a margin the more engines there are.
 func (f *flow) margin() float64 {
-	return f.config.HintMargin * math.Sqrt(f.poolingFactor())
+	return f.config.LengthEstimateMargin * math.Sqrt(f.poolingFactor())
 }
 
 // poolingFactor returns the fraction of the margin for estimation errors that an engine still
@@ -214,7 +214,7 @@
 	return min(marginEngines/float64(max(len(f.servers.Decode[f.service.Name]), 1)), 1)
 }
 
-// marginEngines is the number of engines up to which HintMargin applies unreduced. Compared
+// marginEngines is the number of engines up to which LengthEstimateMargin applies unreduced. Compared
 // with a margin of 0.6, a margin of 0.3 lowers the score of a day by 0.02 with 7 engines and
 // raises it by 0.04 with 30 engines.
 const marginEngines = 7.0
--- a/forward/memory_test.go
+++ b/forward/memory_test.go
@@ -17,7 +17,7 @@
 func TestRequestWithoutMemoryIsRefusedWithinQuarterOfItsTarget(t *testing.T) {
 	withBench(t, func(b *bench) {
 		for _, id := range []string{"d1", "d2"} {
-			b.Fleet.Server(id).Hold(testMemoryTokens - testPromptTokens)
+			b.Fleet.Server(id).AddMemory(testMemoryTokens - testPromptTokens)
 		}
 		r := b.generation("a", testPromptTokens)
 		reply := b.serve(r)
@@ -34,9 +34,9 @@
 func TestFreedMemoryIsReserved(t *testing.T) {
 	withBench(t, func(b *bench) {
 		for _, id := range []string{"d1", "d2"} {
-			b.Fleet.Server(id).Hold(testMemoryTokens)
+			b.Fleet.Server(id).AddMemory(testMemoryTokens)
 		}
-		time.AfterFunc(testTTFT/8, func() { b.Fleet.Server("d2").Hold(-testMemoryTokens) })
+		time.AfterFunc(testTTFT/8, func() { b.Fleet.Server("d2").AddMemory(-testMemoryTokens) })
 		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 200 || !slices.Contains(b.engines.calls, "decode d2") {
 			t.Errorf("status %d after %v", reply.Status, b.engines.calls)
 		}
@@ -45,15 +45,15 @@
 
 func TestMemoryIsKeptFreeForRequestsThatOutgrowTheirEstimate(t *testing.T) {
 	withBench(t, func(b *bench) {
-		need := testPromptTokens + int(float64(testMaxTokens/2)*b.config.HintMargin)
-		b.sizesOf("llm").Asked(need, testMaxTokens/2)
+		need := testPromptTokens + int(float64(testMaxTokens/2)*b.config.LengthEstimateMargin)
+		b.sizesOf("llm").RecordStart(need, testMaxTokens/2)
 		left := need + int(b.sizesOf("llm").Spare(testMemoryTokens)*testMemoryTokens)
-		b.Fleet.Server("d1").Hold(testMemoryTokens - left + 100)
-		b.Fleet.Server("d2").Hold(testMemoryTokens)
+		b.Fleet.Server("d1").AddMemory(testMemoryTokens - left + 100)
+		b.Fleet.Server("d2").AddMemory(testMemoryTokens)
 		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 503 {
 			t.Errorf("with too little free memory: status %d", reply.Status)
 		}
-		b.Fleet.Server("d1").Hold(-200)
+		b.Fleet.Server("d1").AddMemory(-200)
 		if reply := b.serve(b.generation("b", testPromptTokens)); reply.Status != 200 {
 			t.Errorf("with enough free memory: status %d after %v", reply.Status, b.engines.calls)
 		}
@@ -66,7 +66,7 @@
 		b.engines.reserve = func(server string) error {
 			if refused == "" {
 				refused = server
-				return &NotRun{Why: reason.BackendRefused, Sent: true, Detail: "status 503"}
+				return &NotRunError{Why: reason.BackendRefused, Sent: true, Detail: "status 503"}
 			}
 			return nil
 		}
@@ -81,9 +81,9 @@
 func TestLengthEstimatesAreKeptPerService(t *testing.T) {
 	withBench(t, func(b *bench) {
 		for range 100 {
-			b.lengthsOf("short").Guessed(100)
+			b.lengthsOf("short").ExpectedTokens(100)
 		}
-		if got := b.lengthsOf("long").Guessed(9000); got != 9000 {
+		if got := b.lengthsOf("long").ExpectedTokens(9000); got != 9000 {
 			t.Errorf("estimate for a hint of 9000 is %d", got)
 		}
 	})
--- a/forward/move.go
+++ b/forward/move.go
@@ -21,7 +21,7 @@
 
 // move is the transfer of a stream from one decode engine to another.
 type move struct {
-	from, to *route.Rated
+	from, to *route.ScoredCandidate
 	why      reason.Reason
 	began    time.Time
 	// need is the memory that is accounted to the stream at the destination, in tokens.
@@ -30,7 +30,7 @@
 	done chan struct{}
 	// result identifies the stream's memory. stopped is set if the run was stopped for the
 	// move, and arrived if the memory is at the destination.
-	result  Prefilled
+	result  PrefillHandle
 	stopped bool
 	arrived bool
 	err     error
@@ -114,7 +114,7 @@
 // growthBeforeMove returns the memory that the streams at the engine may take before a move
 // from it completes, in tokens.
 func (r *relay) growthBeforeMove() int {
-	pause, known := r.pausesOf(r.service.Name).usual.Most()
+	pause, known := r.pausesOf(r.service.Name).usual.P95()
 	if !known {
 		pause = r.config.EventPause
 	}
@@ -136,7 +136,7 @@
 
 // destination chooses the engine to move to; nil if there is none. A stream whose engine is
 // leaving may use the memory that is kept free for others.
-func (r *relay) destination(why reason.Reason, need int) *route.Rated {
+func (r *relay) destination(why reason.Reason, need int) *route.ScoredCandidate {
 	r.tried = append(r.tried[:0], r.decode.Name)
 	defer func() { r.tried = r.tried[:0] }()
 	query := r.query()
@@ -150,7 +150,7 @@
 func (r *relay) beginMove(m *move) {
 	r.move = m
 	r.moves++
-	m.to.Server.Hold(m.need)
+	m.to.Server.AddMemory(m.need)
 	from, to, request := r.entry(m.from), r.entry(m.to), r.request
 	go func() {
 		defer close(m.done)
@@ -165,9 +165,9 @@
 		return
 	}
 	for range moveStopAttempts {
-		var result Prefilled
+		var result PrefillHandle
 		result, m.err = moveWithTimeout(ctx, moveStopTimeout, backends, from, to, request, true)
-		var refused *NotRun
+		var refused *NotRunError
 		if m.err == nil || errors.As(m.err, &refused) {
 			m.arrived = m.err == nil
 			m.stopped = result != ""
@@ -179,7 +179,7 @@
 	}
 }
 
-func moveWithTimeout(ctx context.Context, limit time.Duration, backends Backends, from, to *registry.Entry, request *Request, last bool) (Prefilled, error) {
+func moveWithTimeout(ctx context.Context, limit time.Duration, backends Backends, from, to *registry.Entry, request *Request, last bool) (PrefillHandle, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return backends.Move(ctx, from, to, request, last)
@@ -208,7 +208,7 @@
 		r.Metrics.Retried(m.why)
 		return
 	}
-	m.to.Server.Hold(-m.need)
+	m.to.Server.AddMemory(-m.need)
 	from := r.entry(m.from)
 	r.cleanup(func(ctx context.Context) { r.releaseMoved(ctx, from, m) })
 }
@@ -241,7 +241,7 @@
 	r.buffer = r.buffer[:r.ready]
 	r.resumeAfterLastEvent()
 	r.releaseDecode()
-	order := DecodeOrder{Source: r.entry(m.from), Result: m.result, LastEvent: r.request.LastEvent}
+	order := DecodeRequest{Source: r.entry(m.from), Result: m.result, LastEvent: r.request.LastEvent}
 	if m.arrived && !r.isLeaving(m.to.Name) {
 		r.decode, r.committed, r.plannedMemory = m.to, m.need, m.need
 		if stream, err := r.decodeOnce(order, 0); err == nil {
@@ -251,13 +251,13 @@
 		}
 		r.uncommit()
 	} else {
-		m.to.Server.Hold(-m.need)
+		m.to.Server.AddMemory(-m.need)
 	}
 	return r.resumeAtSource(m, order)
 }
 
 // resumeAtSource continues a stream at the engine where it was stopped for a move that failed.
-func (r *relay) resumeAtSource(m *move, order DecodeOrder) bool {
+func (r *relay) resumeAtSource(m *move, order DecodeRequest) bool {
 	r.decode, r.committed = m.from, 0
 	r.grow(m.need)
 	stream, err := r.decodeOnce(order, 0)
@@ -280,7 +280,7 @@
 	from := r.entry(m.from)
 	r.cleanup(func(ctx context.Context) {
 		<-m.done
-		m.to.Server.Hold(-m.need)
+		m.to.Server.AddMemory(-m.need)
 		r.releaseMoved(ctx, from, m)
 	})
 }
--- a/forward/move_test.go
+++ b/forward/move_test.go
@@ -25,7 +25,7 @@
 // streamRun is one decode call for a stream.
 type streamRun struct {
 	server string
-	order  DecodeOrder
+	order  DecodeRequest
 }
 
 // movingBench is a bench whose engines can move streams to each other.
@@ -36,15 +36,15 @@
 	// stopped makes the current run's stream end early.
 	stopped *atomic.Bool
 	// onCopy and onStop return the results of the calls of a move; nil means success.
-	onCopy func() (Prefilled, error)
-	onStop func(stop func()) (Prefilled, error)
+	onCopy func() (PrefillHandle, error)
+	onStop func(stop func()) (PrefillHandle, error)
 }
 
 func newMovingBench(b *bench) *movingBench {
 	m := &movingBench{bench: b}
 	view := b.View.(*testView).view
 	view.Services["llm"].Engine.Moves = true
-	b.engines.decode = func(server string, order DecodeOrder) error {
+	b.engines.decode = func(server string, order DecodeRequest) error {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.runs = append(m.runs, streamRun{server: server, order: order})
@@ -61,7 +61,7 @@
 	return m
 }
 
-func (m *movingBench) move(from, _ string, last bool) (Prefilled, error) {
+func (m *movingBench) move(from, _ string, last bool) (PrefillHandle, error) {
 	m.mu.Lock()
 	stopped := m.stopped
 	m.mu.Unlock()
@@ -76,7 +76,7 @@
 		return m.onStop(stop)
 	}
 	stop()
-	return Prefilled("m-" + from), nil
+	return PrefillHandle("m-" + from), nil
 }
 
 // drainAfter marks the engine at which the stream began as draining after a duration.
@@ -149,7 +149,7 @@
 		}
 		first, second := m.runs[0], m.runs[1]
 		if len(m.runs) != 2 || first.server == second.server || second.order.Source.ID != first.server ||
-			second.order.Result != Prefilled("m-"+first.server) || second.order.LastEvent == "" {
+			second.order.Result != PrefillHandle("m-"+first.server) || second.order.LastEvent == "" {
 			t.Errorf("runs %+v", m.runs)
 		}
 		if b.callCount("prefill") != 1 || b.callCount("copy") != 1 || b.callCount("stop") != 1 {
@@ -176,19 +176,19 @@
 // A move that fails before the run has stopped doesn't affect the caller's stream. After the
 // stop, the stream continues at its old engine if that still has its memory.
 func TestFailedMoves(t *testing.T) {
-	refused := &NotRun{Why: reason.BackendRefused, Sent: true, Detail: "status 503"}
+	refused := &NotRunError{Why: reason.BackendRefused, Sent: true, Detail: "status 503"}
 	lost := errors.New("connection reset")
 	for name, test := range map[string]struct {
-		copied func() (Prefilled, error)
-		stop   func(stop func()) (Prefilled, error)
+		copied func() (PrefillHandle, error)
+		stop   func(stop func()) (PrefillHandle, error)
 		whole  bool
 		ran    int
 	}{
-		"no memory":                {copied: func() (Prefilled, error) { return "", refused }, whole: true, ran: 1},
-		"copy call unanswered":     {copied: func() (Prefilled, error) { return "", lost }, whole: true, ran: 1},
-		"no memory after the stop": {stop: func(stop func()) (Prefilled, error) { stop(); return "kept", refused }, whole: true, ran: 2},
-		"stop refused":             {stop: func(func()) (Prefilled, error) { return "", refused }, whole: true, ran: 1},
-		"stop calls unanswered":    {stop: func(stop func()) (Prefilled, error) { stop(); return "", lost }, whole: false, ran: 1},
+		"no memory":                {copied: func() (PrefillHandle, error) { return "", refused }, whole: true, ran: 1},
+		"copy call unanswered":     {copied: func() (PrefillHandle, error) { return "", lost }, whole: true, ran: 1},
+		"no memory after the stop": {stop: func(stop func()) (PrefillHandle, error) { stop(); return "kept", refused }, whole: true, ran: 2},
+		"stop refused":             {stop: func(func()) (PrefillHandle, error) { return "", refused }, whole: true, ran: 1},
+		"stop calls unanswered":    {stop: func(stop func()) (PrefillHandle, error) { stop(); return "", lost }, whole: false, ran: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withBench(t, func(b *bench) {
@@ -216,7 +216,7 @@
 	withBench(t, func(b *bench) {
 		m := newMovingBench(b)
 		calls := 0
-		m.onStop = func(stop func()) (Prefilled, error) {
+		m.onStop = func(stop func()) (PrefillHandle, error) {
 			stop()
 			if calls++; calls == 1 {
 				return "", errors.New("connection reset")
@@ -274,7 +274,7 @@
 	withBench(t, func(b *bench) {
 		m := newMovingBench(b)
 		ctx, leave := context.WithCancel(context.Background())
-		m.onCopy = func() (Prefilled, error) {
+		m.onCopy = func() (PrefillHandle, error) {
 			leave()
 			time.Sleep(50 * time.Millisecond)
 			return "copy", nil
--- a/forward/plain.go
+++ b/forward/plain.go
@@ -15,7 +15,7 @@
 
 // call forwards a plain request to one server, and to another one only if that is allowed.
 func (f *flow) call(caller context.Context) *Reply {
-	if stopping := f.stopping.Load(); stopping != nil && clock.Until(stopping.ends) < f.config.LastCalls {
+	if stopping := f.stopping.Load(); stopping != nil && clock.Until(stopping.ends) < f.config.PlainShutdownMargin {
 		return f.refuse(reason.Stopping, "the instance is stopping")
 	}
 	ctx, cancel := clock.WithDeadline(caller, f.deadline)
@@ -57,8 +57,8 @@
 	}
 	f.tried = append(f.tried, chosen.Name)
 	f.sentTo = append(f.sentTo, chosen.Name)
-	defer chosen.Server.Begin(0)()
-	defer chosen.Server.Await(clock.Now())()
+	defer chosen.Server.RequestSent(0)()
+	defer chosen.Server.AwaitAnswer(clock.Now())()
 	f.sentAt = clock.Now()
 	answer, err := f.Backends.Call(ctx, f.entry(chosen), f.request, f.deadline)
 	f.record(stepCall, callResult(answer, err), "server", chosen.Name, "inFlight", chosen.Server.InFlight())
@@ -73,8 +73,8 @@
 // recordSend records the result of a send to a server for the poison check. It records nothing
 // if the server reports that it did not run the request, or if the caller left or the deadline
 // passed first.
-func (f *flow) recordSend(ctx context.Context, at *route.Rated, err error) {
-	var notRun *NotRun
+func (f *flow) recordSend(ctx context.Context, at *route.ScoredCandidate, err error) {
+	var notRun *NotRunError
 	switch {
 	case err == nil:
 		f.recordCompleted()
@@ -97,7 +97,7 @@
 
 // nextStep decides whether another server is tried.
 func (f *flow) nextStep(ctx context.Context, answer *Answer, err error, attempt int) verdict {
-	var notRun *NotRun
+	var notRun *NotRunError
 	switch {
 	case ctx.Err() != nil || errors.Is(err, errNoServer) || errors.Is(err, errPoison) || errors.Is(err, errDeadlinePassed):
 		return final
@@ -139,7 +139,7 @@
 
 // conclude answers the caller with the result of the last try.
 func (f *flow) conclude(ctx context.Context, answer *Answer, err error) *Reply {
-	var notRun *NotRun
+	var notRun *NotRunError
 	switch {
 	case err == nil:
 		return f.deliver(answer)
--- a/forward/plain_test.go
+++ b/forward/plain_test.go
@@ -22,7 +22,7 @@
 func TestCallThatWasNotRunIsRefusedWithRetryAfter(t *testing.T) {
 	withBench(t, func(b *bench) {
 		b.engines.call = func(string) (*Answer, error) {
-			return nil, &NotRun{Why: reason.BackendRefused, Sent: true, Detail: "status 503"}
+			return nil, &NotRunError{Why: reason.BackendRefused, Sent: true, Detail: "status 503"}
 		}
 		if reply := b.serve(b.plain("a")); reply.Status != 503 || reply.RetryAfter == 0 {
 			t.Errorf("status %d, retry after %v", reply.Status, reply.RetryAfter)
@@ -36,7 +36,7 @@
 			if server == "s1" {
 				return nil, errors.New("connection reset")
 			}
-			return nil, &NotRun{Why: reason.BackendRefused, Sent: true, Detail: "status 503"}
+			return nil, &NotRunError{Why: reason.BackendRefused, Sent: true, Detail: "status 503"}
 		}
 		// s1 may have run the call, whichever server is tried first. The refusal by
 		// s2 must not make the reply say that it did not run.
--- a/forward/pressure_load_test.go
+++ b/forward/pressure_load_test.go
@@ -73,13 +73,13 @@
 func (d pressureBackends) Call(ctx context.Context, server *registry.Entry, r *Request, _ time.Time) (*Answer, error) {
 	pressure := d.fleet.Server(server.ID).Pressure
 	if verdict := pressure.Send(backpressure.PlainWork, time.Now()); verdict != backpressure.Clear {
-		return nil, &NotRun{Why: reason.ServersLimited, Withheld: true}
+		return nil, &NotRunError{Why: reason.ServersLimited, Withheld: true}
 	}
 	sent := time.Now()
 	reported := d.statusOf(server.ID)
 	if reported.Backoff > 0 {
-		pressure.Heard(reported, sent, time.Now())
-		return nil, &NotRun{Why: reason.BackendRefused, Sent: true}
+		pressure.Observe(reported, sent, time.Now())
+		return nil, &NotRunError{Why: reason.BackendRefused, Sent: true}
 	}
 	select {
 	case d.slots[server.ID] <- struct{}{}:
@@ -88,13 +88,13 @@
 	}
 	defer func() { <-d.slots[server.ID] }()
 	time.Sleep(pressureWorkTime)
-	pressure.Heard(reported, sent, time.Now())
+	pressure.Observe(reported, sent, time.Now())
 	return &Answer{Status: 200}, nil
 }
 
 // statusOf returns the status that a server reports.
-func (d *pressureSim) statusOf(server string) backpressure.Statement {
-	reported := backpressure.Statement{Kind: backpressure.Plain}
+func (d *pressureSim) statusOf(server string) backpressure.StatusReport {
+	reported := backpressure.StatusReport{Kind: backpressure.Plain}
 	var number int
 	if _, err := fmt.Sscanf(server, "s%d", &number); err != nil || number >= d.affected {
 		return reported
@@ -105,7 +105,7 @@
 	case conditionDraining:
 		reported.Leaving = true
 	case conditionBackingOff:
-		reported.Refused, reported.Backoff = true, pressureBackoff
+		reported.Rejected, reported.Backoff = true, pressureBackoff
 	}
 	return reported
 }
@@ -142,7 +142,7 @@
 	var all []*Gateway
 	for _, name := range names {
 		fleet := route.NewFleet()
-		fleet.Backpressure.SetInstances(backpressure.Instances{Self: name, Taking: names})
+		fleet.Backpressure.SetInstances(backpressure.Instances{Self: name, Active: names})
 		fleet.Adopt(&table.View{Backends: rows})
 		view := &testView{view: testTable.Compile()}
 		view.servers.Store(servers)
--- a/forward/pressure_test.go
+++ b/forward/pressure_test.go
@@ -16,10 +16,10 @@
 // exhaustLimit makes servers report a rate limit and uses up what it allows for now.
 func (b *bench) exhaustLimit(perSecond float64, kind backpressure.Kind, servers ...string) {
 	now := time.Now()
-	b.Fleet.Backpressure.SetInstances(backpressure.Instances{Self: "i", Taking: []string{"i"}})
+	b.Fleet.Backpressure.SetInstances(backpressure.Instances{Self: "i", Active: []string{"i"}})
 	for _, name := range servers {
 		pressure := b.Fleet.Server(name).Pressure
-		pressure.Heard(backpressure.Statement{Kind: kind, Limited: true, Limit: perSecond}, now, now)
+		pressure.Observe(backpressure.StatusReport{Kind: kind, Limited: true, Limit: perSecond}, now, now)
 		for pressure.Send(backpressure.PlainWork, now) == backpressure.Clear {
 		}
 	}
@@ -90,7 +90,7 @@
 	withBench(t, func(b *bench) {
 		b.engines.call = func(server string) (*Answer, error) {
 			if server == "s1" {
-				return nil, &NotRun{Why: reason.ServersLimited, Withheld: true}
+				return nil, &NotRunError{Why: reason.ServersLimited, Withheld: true}
 			}
 			return &Answer{Status: 200}, nil
 		}
@@ -106,15 +106,15 @@
 }
 
 // reportStatus delivers a status report of a server.
-func (b *bench) reportStatus(server string, reported backpressure.Statement) {
+func (b *bench) reportStatus(server string, reported backpressure.StatusReport) {
 	now := time.Now()
-	b.Fleet.Server(server).Pressure.Heard(reported, now, now)
+	b.Fleet.Server(server).Pressure.Observe(reported, now, now)
 }
 
 func TestRequestIsRefusedAtOnceIfAllServersBackOff(t *testing.T) {
 	withBench(t, func(b *bench) {
 		for server, backoff := range map[string]time.Duration{"s1": 4 * time.Second, "s2": 2 * time.Second} {
-			b.reportStatus(server, backpressure.Statement{Kind: backpressure.Plain, Refused: true, Backoff: backoff})
+			b.reportStatus(server, backpressure.StatusReport{Kind: backpressure.Plain, Rejected: true, Backoff: backoff})
 		}
 		began := time.Now()
 		reply := b.serve(b.plain("a"))
@@ -132,7 +132,7 @@
 func TestBackoffOpensNoBreaker(t *testing.T) {
 	withBench(t, func(b *bench) {
 		b.engines.call = func(server string) (*Answer, error) {
-			b.reportStatus(server, backpressure.Statement{Kind: backpressure.Plain, Refused: true, Backoff: 10 * time.Millisecond})
+			b.reportStatus(server, backpressure.StatusReport{Kind: backpressure.Plain, Rejected: true, Backoff: 10 * time.Millisecond})
 			return nil, errors.New("status 503 without a report of whether it ran")
 		}
 		for i := range 30 {
@@ -159,7 +159,7 @@
 		b.engines.prefill = func(string) error {
 			if first == "" {
 				first = reserved
-				b.reportStatus(first, backpressure.Statement{Kind: backpressure.Decode, Leaving: true})
+				b.reportStatus(first, backpressure.StatusReport{Kind: backpressure.Decode, Leaving: true})
 			}
 			return nil
 		}
@@ -177,10 +177,10 @@
 func TestWithheldDecodeGoesToAnotherEngine(t *testing.T) {
 	withBench(t, func(b *bench) {
 		withheld := ""
-		b.engines.decode = func(server string, _ DecodeOrder) error {
+		b.engines.decode = func(server string, _ DecodeRequest) error {
 			if withheld == "" || withheld == server {
 				withheld = server
-				return &NotRun{Why: reason.ServersResting, Withheld: true}
+				return &NotRunError{Why: reason.ServersResting, Withheld: true}
 			}
 			return nil
 		}
@@ -200,7 +200,7 @@
 		time.AfterFunc(200*time.Millisecond, func() {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			b.reportStatus(m.runs[0].server, backpressure.Statement{Kind: backpressure.Decode, Leaving: true})
+			b.reportStatus(m.runs[0].server, backpressure.StatusReport{Kind: backpressure.Decode, Leaving: true})
 		})
 		if reply := b.serve(b.generation("a", testPromptTokens)); reply.Status != 200 {
 			t.Errorf("status %d, reason %s", reply.Status, reply.Reason)
--- a/forward/read.go
+++ b/forward/read.go
@@ -20,7 +20,7 @@
 	}
 	ahead := g.prefill.Server.PrefillTime(g.request.Generation.PromptTokens)
 	_, measured := g.prefill.Server.Prefills.Time(1)
-	landing := clock.Now().Add(ahead + g.config.LandingMargin)
+	landing := clock.Now().Add(ahead + g.config.FirstTokenMargin)
 	// Nothing is known of an engine without measurements. Its first prompts provide them.
 	g.readAtDecode = measured && landing.After(g.target)
 	if !g.readAtDecode {
@@ -47,12 +47,12 @@
 // engine that reads the prompt. The streams get their tokens between chunks of the prompt.
 func (g *generation) pauseDuringRead() time.Duration {
 	seen := g.pausesOf(g.service.Name)
-	usual, known := seen.usual.Most()
+	usual, known := seen.usual.P95()
 	if !known {
 		usual = g.config.EventPause
 	}
 	prompt := g.request.Generation.PromptTokens
-	if most, known := seen.reading.Most(); known {
+	if most, known := seen.reading.P95(); known {
 		return min(most, usual+g.decodeReadTime(prompt))
 	}
 	return usual + g.decodeReadTime(min(prompt, readChunkTokens*g.service.Engine.EventTokens))
@@ -103,7 +103,7 @@
 // not reached costs other requests nothing, so another one is tried without taking from the
 // retry budget.
 func (g *generation) mayReadAgain(failed error, try int) bool {
-	var notRun *NotRun
+	var notRun *NotRunError
 	if errors.As(failed, &notRun) && !notRun.Sent {
 		return try < maxUnreached
 	}
@@ -124,10 +124,10 @@
 	}
 	server := g.prefill.Server
 	tokens := g.request.Generation.PromptTokens
-	ctx, cancel := clock.WithDeadline(g.ctx, g.target.Add(g.config.LateReading))
+	ctx, cancel := clock.WithDeadline(g.ctx, g.target.Add(g.config.LatePrefillGrace))
 	defer cancel()
-	defer server.Begin(tokens)()
-	defer server.Await(clock.Now())()
+	defer server.RequestSent(tokens)()
+	defer server.AwaitAnswer(clock.Now())()
 	g.sentTo = append(g.sentTo, g.prefill.Name)
 	began := clock.Now()
 	waiting := server.WaitingTokens()
@@ -149,7 +149,7 @@
 // retryRefusedDecode continues after the decode engine did not take the prefill's result,
 // which may have expired. The request is sent once more to the same engine, which then reads
 // the prompt itself.
-func (g *generation) retryRefusedDecode(refused *NotRun) (*Stream, *stepError) {
+func (g *generation) retryRefusedDecode(refused *NotRunError) (*Stream, *stepError) {
 	failed := &stepError{why: refused.Why, detail: refused.Detail}
 	if refused.Withheld {
 		return g.decodeElsewhere(failed, false)
@@ -161,7 +161,7 @@
 		return g.decodeElsewhere(failed, true)
 	}
 	g.prefill.Server.HandoffLost(clock.Now())
-	late := clock.Now().After(g.target.Add(-g.config.LandingMargin))
+	late := clock.Now().After(g.target.Add(-g.config.FirstTokenMargin))
 	if late || !g.Budget(g.service.Name).Spend(clock.Now()) {
 		return nil, failed
 	}
@@ -209,7 +209,7 @@
 // to be a decode engine, is leaving or did not accept it. sent reports whether the request was
 // sent to the first one. A prefill's result is kept only for a short while.
 func (g *generation) decodeElsewhere(failed *stepError, sent bool) (*Stream, *stepError) {
-	expires := g.readAt.Add(g.service.Engine.Handle - g.config.HandleMargin)
+	expires := g.readAt.Add(g.service.Engine.Handle - g.config.PrefillExpiryMargin)
 	if g.result != "" && clock.Now().After(expires) {
 		return nil, failed
 	}
--- a/forward/reading_test.go
+++ b/forward/reading_test.go
@@ -12,7 +12,7 @@
 	withBench(t, func(b *bench) {
 		// Both prefill engines have two seconds of prompts queued.
 		for _, id := range []string{"p1", "p2"} {
-			defer b.Fleet.Server(id).Unread(2 * testPrefillRate)()
+			defer b.Fleet.Server(id).AddUnread(2 * testPrefillRate)()
 		}
 		// At half of testPrefillRate, 5,000 tokens take 200 ms and 7,000 take
 		// 280 ms. With the usual pause between events the latter is over the target.
@@ -40,7 +40,7 @@
 func TestObservedPausesDecideWhetherDecodeEnginePrefills(t *testing.T) {
 	withBench(t, func(b *bench) {
 		for _, id := range []string{"p1", "p2"} {
-			defer b.Fleet.Server(id).Unread(2 * testPrefillRate)()
+			defer b.Fleet.Server(id).AddUnread(2 * testPrefillRate)()
 		}
 		seen := func(pause time.Duration) {
 			for range 100 {
@@ -69,7 +69,7 @@
 				gone = server
 			}
 			if server == gone {
-				return &NotRun{Why: reason.ConnectFailed, Detail: "connection refused"}
+				return &NotRunError{Why: reason.ConnectFailed, Detail: "connection refused"}
 			}
 			return nil
 		}
--- a/forward/regions_test.go
+++ b/forward/regions_test.go
@@ -134,7 +134,7 @@
 		b.splitZones()
 		g := &generation{flow: &flow{Gateway: b.Gateway, request: b.generation("g", 1000), regions: regions{"west": true}, entries: make(map[string]*registry.Entry)}}
 		g.service, g.route = b.View.Table().Services["llm"], b.View.Table().Route("h", "/stream/")
-		g.decode = &route.Rated{Candidate: route.Candidate{Backend: b.View.Servers().Decode["llm"][0], Server: b.Fleet.Server("d1")}}
+		g.decode = &route.ScoredCandidate{Candidate: route.Candidate{Backend: b.View.Servers().Decode["llm"][0], Server: b.Fleet.Server("d1")}}
 		g.decode.Name = "d1"
 		r := &relay{generation: g}
 		if to := r.destination(reason.EngineLeaving, 1000); to != nil {
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -71,7 +71,7 @@
 func (r *relay) fill() {
 	n, err := r.stream.Read(r.scratch)
 	if n > 0 {
-		r.decode.Server.Heard(clock.Now())
+		r.decode.Server.RecordContact(clock.Now())
 	}
 	r.buffer = append(r.buffer, r.scratch[:n]...)
 	if end := bytes.LastIndex(r.buffer, eventEnd); end >= 0 {
@@ -196,7 +196,7 @@
 		r.recordCompleted()
 	}
 	if r.ended == io.EOF && r.events > 0 && !r.resumed {
-		r.sizesOf(r.service.Name).Ended(r.expected, r.generated())
+		r.sizesOf(r.service.Name).RecordEnd(r.expected, r.generated())
 	}
 	why, detail := r.reason(departed)
 	r.record(stepStream, resultOf(r.ended), "events", r.events, "firstMillis", r.firstEventAfter.Milliseconds(), "longestGapMillis", r.longestPause.Milliseconds())
--- a/forward/rerun.go
+++ b/forward/rerun.go
@@ -107,7 +107,7 @@
 	}
 	for _, backend := range g.View.Servers().Decode[service] {
 		server := g.Fleet.Server(backend.Name)
-		if backend.Name == excluded || backend.Drain || !allowed.contains(backend, g.RegionOf) || server == nil || server.Pressure.Look(backpressure.ReserveWork, clock.Now()) != backpressure.Clear {
+		if backend.Name == excluded || backend.Drain || !allowed.contains(backend, g.RegionOf) || server == nil || server.Pressure.Check(backpressure.ReserveWork, clock.Now()) != backpressure.Clear {
 			continue
 		}
 		if backend.MemoryTokens == 0 || g.freeMemoryAt(backend) >= need {
--- a/forward/rerun_test.go
+++ b/forward/rerun_test.go
@@ -255,7 +255,7 @@
 func TestRunLostBeforeItsAnswerContinuesAtAnotherEngine(t *testing.T) {
 	withBench(t, func(b *bench) {
 		first := ""
-		b.engines.decode = func(server string, _ DecodeOrder) error {
+		b.engines.decode = func(server string, _ DecodeRequest) error {
 			if first == "" || first == server {
 				first = server
 				return errCrashed
--- a/forward/restarted_test.go
+++ b/forward/restarted_test.go
@@ -38,7 +38,7 @@
 			b.restart(server)
 			return nil
 		}
-		b.engines.decode = func(_ string, order DecodeOrder) error {
+		b.engines.decode = func(_ string, order DecodeRequest) error {
 			if order.Source != nil || order.Result != "" || order.Reservation == "" {
 				t.Errorf("decode with %+v", order)
 			}
@@ -60,7 +60,7 @@
 			b.restart(first)
 			return nil
 		}
-		b.engines.decode = func(server string, order DecodeOrder) error {
+		b.engines.decode = func(server string, order DecodeRequest) error {
 			if server == first || order.Reservation != Reservation("r-"+server) {
 				t.Errorf("decode at %s with %+v", server, order)
 			}
--- a/forward/suspect.go
+++ b/forward/suspect.go
@@ -39,7 +39,7 @@
 // caller gets status 502 and not 503, because the request has run and sending it again would
 // not help.
 func (f *flow) admit() *Reply {
-	if !f.Poison.Suspicious() {
+	if !f.Poison.HasSuspects() {
 		return nil
 	}
 	admission := f.Poison.Admit(f.fingerprints(), clock.Now())
@@ -64,26 +64,26 @@
 
 // blocked reports whether the request has been found to crash servers since it was admitted.
 func (f *flow) blocked() bool {
-	return f.Poison.Suspicious() && f.admission.State != poison.Blocked && f.Poison.State(f.fingerprints()) == poison.Blocked
+	return f.Poison.HasSuspects() && f.admission.State != poison.Blocked && f.Poison.State(f.fingerprints()) == poison.Blocked
 }
 
 // mayRepeat reports whether a request that broke off may be sent to one more server.
 func (f *flow) mayRepeat() bool {
-	return !f.Poison.Remembers() || f.Poison.MayRepeat(f.fingerprints())
+	return !f.Poison.HasRecords() || f.Poison.MayRetry(f.fingerprints())
 }
 
 // recordCompleted records that a server ran the request to its end.
 func (f *flow) recordCompleted() {
-	if f.Poison.Remembers() {
+	if f.Poison.HasRecords() {
 		f.Poison.Completed(f.fingerprints(), clock.Now())
 	}
 }
 
 // recordBroken records that the request broke off at a server, and checks whether that server
 // crashed.
-func (f *flow) recordBroken(at *route.Rated) {
+func (f *flow) recordBroken(at *route.ScoredCandidate) {
 	entry := f.entry(at)
-	if f.Poison.Broke(entry.Run(), f.fingerprints(), f.sentAt, clock.Now()) {
+	if f.Poison.ConnectionBroke(entry.Run(), f.fingerprints(), f.sentAt, clock.Now()) {
 		f.cleanup(func(ctx context.Context) { f.detectCrash(ctx, entry) })
 	}
 }
@@ -105,7 +105,7 @@
 		switch {
 		case g.View.Servers().Restarted(entry):
 			why = "it was restarted"
-		case g.Backends.HasEnded(ctx, entry):
+		case g.Backends.HasExited(ctx, entry):
 			why = "its address refuses connections"
 		default:
 			continue
@@ -119,8 +119,8 @@
 
 // fewestRunning returns the remaining candidate with the fewest requests in flight, so that
 // the fewest other requests are lost if it crashes.
-func fewestRunning(rated []route.Rated) *route.Rated {
-	var best *route.Rated
+func fewestRunning(rated []route.ScoredCandidate) *route.ScoredCandidate {
+	var best *route.ScoredCandidate
 	fewest := 0
 	for i := range rated {
 		one := &rated[i]
--- a/forward/suspect_test.go
+++ b/forward/suspect_test.go
@@ -63,7 +63,7 @@
 		server := fmt.Sprint(f.fingerprints().OfCaller, "-", i)
 		// A run that began before the previous crash would not count.
 		at := time.Now().Add(-time.Duration(servers-i) * time.Second)
-		b.Poison.Broke(server, f.fingerprints(), at, at)
+		b.Poison.ConnectionBroke(server, f.fingerprints(), at, at)
 		b.Poison.Crashed(server, at)
 	}
 }
@@ -168,7 +168,7 @@
 
 func TestProbeGoesToServerWithFewestRequests(t *testing.T) {
 	withBench(t, func(b *bench) {
-		defer b.Fleet.Server("s1").Begin(0)()
+		defer b.Fleet.Server("s1").RequestSent(0)()
 		r := b.plain("a")
 		b.recordCrashes(r, 2)
 		for range 10 {
--- a/forward/team.go
+++ b/forward/team.go
@@ -13,8 +13,8 @@
 type Allotments interface {
 	// Admit counts a request of a team if it may be served.
 	Admit(team string, cost float64, now time.Time) allotment.Decision
-	// Return refunds the cost of a request that never ran.
-	Return(team string, cost float64, now time.Time)
+	// Refund refunds the cost of a request that never ran.
+	Refund(team string, cost float64, now time.Time)
 }
 
 // authenticate finds the team that a request belongs to, and ends a request without a key of
@@ -51,7 +51,7 @@
 		f.charged, f.allotmentUsed = cost, made.Used
 		return nil
 	}
-	f.record(stepAllot, "over", "team", made.Team, "cost", made.Cost, "left", int(made.Left), "share", made.Share, "knownMillis", made.Known.Milliseconds())
+	f.record(stepAllot, "over", "team", made.Team, "cost", made.Cost, "left", int(made.Balance), "share", made.Share, "knownMillis", made.Known.Milliseconds())
 	// The random part keeps callers that were refused together from returning together.
 	wait := made.Wait + time.Duration(f.Random()*float64(f.config.AllotmentSpread))
 	return f.end(&Reply{Status: statusOverLimit, Reason: reason.OverAllotment, RetryAfter: max(wait, f.config.AllotmentSpread/2)}, "the team has used up its allotment")
@@ -60,7 +60,7 @@
 // refund returns the cost of a request that never ran to its team's allotment.
 func (f *flow) refund(outcome reason.Outcome) {
 	if f.charged > 0 && outcome == reason.NotRun {
-		f.Allotments.Return(f.team.Name, f.charged, clock.Now())
+		f.Allotments.Refund(f.team.Name, f.charged, clock.Now())
 	}
 	f.charged = 0
 }
--- a/forward/team_test.go
+++ b/forward/team_test.go
@@ -111,11 +111,11 @@
 func TestRefusedRequestIsNotCharged(t *testing.T) {
 	withBench(t, func(b *bench) {
 		ledger := b.setTeams(allotment.Limit{Rate: 1000, Burst: 100}, false)
-		b.engines.reserve = func(string) error { return &NotRun{Why: reason.BackendRefused, Sent: true} }
+		b.engines.reserve = func(string) error { return &NotRunError{Why: reason.BackendRefused, Sent: true} }
 		if reply := b.serveWithKey(b.generation("1", testPromptTokens), "key-a"); reply.Status != 503 {
 			t.Fatalf("status %d", reply.Status)
 		}
-		if left := ledger.Admit("a", 0, time.Now()).Left; left != 100 {
+		if left := ledger.Admit("a", 0, time.Now()).Balance; left != 100 {
 			t.Errorf("balance %v, want 100", left)
 		}
 	})
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -115,7 +115,7 @@
 	Upto         uint64        `cbor:"6,keyasint,omitempty"`
 	// Teams holds the balances and usage totals, as the hub knows them, of teams with recent
 	// usage.
-	Teams []allotment.Level `cbor:"9,keyasint,omitempty"`
+	Teams []allotment.Balance `cbor:"9,keyasint,omitempty"`
 	// Instances is the number of instances, as far as the hub knows.
 	Instances int `cbor:"7,keyasint,omitempty"`
 	// Outgrown is set if the receiver should now use other shares of the servers and request
--- a/instance/orphans.go
+++ b/instance/orphans.go
@@ -21,7 +21,7 @@
 // requests whose home is dead, and requests that a live home has given up, for
 // example because the cancel arrived at the engine before the request.
 func (i *Instance) cancelOrphans(ctx context.Context, backend *table.BackendView, held []engine.Held) {
-	if !i.config.Request.Protect.Orphans {
+	if !i.config.Request.Protect.CancelOrphans {
 		return
 	}
 	members := i.members.View()
@@ -90,7 +90,7 @@
 		return claims
 	}
 	for _, claim := range query.Claims {
-		if !i.Runner.Claims(route.HoldKey{RequestID: claim.RequestID, Attempt: claim.Attempt}) {
+		if !i.Runner.IsClaimed(route.ReservationKey{RequestID: claim.RequestID, Attempt: claim.Attempt}) {
 			claims.Abandoned = append(claims.Abandoned, claim)
 		}
 	}
@@ -100,11 +100,11 @@
 // heldTimes records since when each engine holds a request.
 type heldTimes struct {
 	mu        sync.Mutex
-	firstHeld map[string]map[route.HoldKey]time.Time
+	firstHeld map[string]map[route.ReservationKey]time.Time
 }
 
-func holdKeyOf(h engine.Held) route.HoldKey {
-	return route.HoldKey{RequestID: h.RequestID, Attempt: h.Number}
+func holdKeyOf(h engine.Held) route.ReservationKey {
+	return route.ReservationKey{RequestID: h.RequestID, Attempt: h.Number}
 }
 
 // retain removes the requests that the engine no longer holds.
@@ -112,10 +112,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.firstHeld == nil {
-		s.firstHeld = make(map[string]map[route.HoldKey]time.Time)
+		s.firstHeld = make(map[string]map[route.ReservationKey]time.Time)
 	}
 	before := s.firstHeld[server]
-	now := make(map[route.HoldKey]time.Time, len(held))
+	now := make(map[route.ReservationKey]time.Time, len(held))
 	for _, h := range held {
 		if at, seen := before[holdKeyOf(h)]; seen {
 			now[holdKeyOf(h)] = at
--- a/instance/siblings.go
+++ b/instance/siblings.go
@@ -152,7 +152,7 @@
 	case message.Reserve != nil:
 		return &peer.Message{Reserved: i.handleReserve(message.Reserve)}
 	case message.Release != nil:
-		key := route.HoldKey{RequestID: message.Release.RequestID, Attempt: message.Release.Attempt}
+		key := route.ReservationKey{RequestID: message.Release.RequestID, Attempt: message.Release.Attempt}
 		i.steward.Release(message.Release.Worker, key, clock.Now())
 		return nil
 	case message.Intent != nil:
@@ -250,8 +250,8 @@
 	return answer.IntentAnswer.Refused
 }
 
-// Settle implements request.Witnesses.
-func (w witnesses) Settle(id operation.ID, status operation.Status) {
+// ReportOutcome implements request.Witnesses.
+func (w witnesses) ReportOutcome(id operation.ID, status operation.Status) {
 	if sibling, known := w.members.View().Find(id.Witness.Name); known {
 		w.deps.Peers.Send(sibling.Peer, &peer.Message{Settle: &peer.Settle{Operation: id.String(), Status: status}})
 	}
--- a/instance/stewards.go
+++ b/instance/stewards.go
@@ -16,7 +16,7 @@
 type stewards struct{ *Instance }
 
 // Reserve implements request.Stewards.
-func (s stewards) Reserve(ctx context.Context, server string, request route.Ask) route.Grant {
+func (s stewards) Reserve(ctx context.Context, server string, request route.Demand) route.Grant {
 	owner := s.ownerOf(server)
 	if owner == s.self.Name {
 		return s.steward.Reserve(server, request, clock.Now())
@@ -27,7 +27,7 @@
 	}
 	answer, err := s.deps.Peers.Call(ctx, sibling.Peer, &peer.Message{Reserve: &peer.Reserve{
 		Worker: server, RequestID: request.RequestID, Attempt: request.Attempt, Pieces: request.Pieces, TTL: request.TTL,
-		LandIn: request.LandIn, HoldFor: request.HoldFor, Headroom: request.Headroom, Tokens: request.Tokens, MostAhead: request.MostAhead,
+		LandIn: request.ArrivesIn, HoldFor: request.HoldFor, Headroom: request.Headroom, Tokens: request.Tokens, MostAhead: request.MaxTokensAhead,
 	}})
 	if err != nil || answer.Reserved == nil {
 		return route.Grant{Refused: reason.StewardUnreached}
@@ -36,7 +36,7 @@
 }
 
 // Release implements request.Stewards.
-func (s stewards) Release(server string, key route.HoldKey) {
+func (s stewards) Release(server string, key route.ReservationKey) {
 	owner := s.ownerOf(server)
 	if owner == s.self.Name {
 		s.steward.Release(server, key, clock.Now())
@@ -50,9 +50,9 @@
 }
 
 func (i *Instance) handleReserve(request *peer.Reserve) *peer.Reserved {
-	grant := i.steward.Reserve(request.Worker, route.Ask{
-		HoldKey: route.HoldKey{RequestID: request.RequestID, Attempt: request.Attempt}, Pieces: request.Pieces, TTL: request.TTL,
-		LandIn: request.LandIn, HoldFor: request.HoldFor, Headroom: request.Headroom, Tokens: request.Tokens, MostAhead: request.MostAhead,
+	grant := i.steward.Reserve(request.Worker, route.Demand{
+		ReservationKey: route.ReservationKey{RequestID: request.RequestID, Attempt: request.Attempt}, Pieces: request.Pieces, TTL: request.TTL,
+		ArrivesIn: request.LandIn, HoldFor: request.HoldFor, Headroom: request.Headroom, Tokens: request.Tokens, MaxTokensAhead: request.MostAhead,
 	}, clock.Now())
 	return &peer.Reserved{Refused: grant.Refused, Free: grant.Free, Ahead: grant.Ahead}
 }
@@ -92,15 +92,15 @@
 	if server := i.fleet.Server(backend.Name); server != nil {
 		server.Observe(&route.Report{
 			At: sentAt, WaitingTokens: load.WaitingTokens, Running: load.Running,
-			FreePieces: load.FreePieces, Leaving: load.Leaving,
+			FreePieces: load.FreePieces, Leaving: load.Draining,
 		})
 	}
 	if backend.Role == table.RolePrefill {
 		i.readCacheEvents(ctx, backend)
 	}
-	held := make(map[route.HoldKey]int, len(load.Held))
+	held := make(map[route.ReservationKey]int, len(load.Held))
 	for _, h := range load.Held {
-		held[route.HoldKey{RequestID: h.RequestID, Attempt: h.Number}] = h.Pieces
+		held[route.ReservationKey{RequestID: h.RequestID, Attempt: h.Number}] = h.Pieces
 	}
 	i.steward.Observe(backend.Name, route.EngineReport{
 		TakenAt: sentAt, Pieces: load.Pieces, WaitingTokens: load.WaitingTokens, Held: held,
--- a/peer/message.go
+++ b/peer/message.go
@@ -37,7 +37,7 @@
 }
 
 // Reserve requests a reservation at a backend server from its steward; see
-// route.Ask.
+// route.Demand.
 type Reserve struct {
 	Worker    string        `cbor:"1,keyasint"`
 	RequestID string        `cbor:"2,keyasint"`
--- a/poison/blame.go
+++ b/poison/blame.go
@@ -70,7 +70,7 @@
 			delete(left, cause)
 			continue
 		}
-		if byRequest[cause].count(cause) >= c.OftenCrashes {
+		if byRequest[cause].count(cause) >= c.RepeatedCrashes {
 			crashes = max(crashes, c.BlockCrashes)
 		}
 		identical := sameCrashes(left, cause)
--- a/poison/config.go
+++ b/poison/config.go
@@ -14,13 +14,13 @@
 	// another request that explains the crashes, for it to be blocked. The users'
 	// requirement is three.
 	BlockCrashes int
-	// OftenCrashes is how many servers must have crashed during a request, whatever
+	// RepeatedCrashes is how many servers must have crashed during a request, whatever
 	// explains the crashes, for SuspectCrashes unexplained ones to be enough to block
 	// it. If there are more requests that crash servers than servers, each of them
 	// mostly runs beside another one. With 20 such requests and 9 servers, 111 servers
 	// crashed in 40 s without this rule and 70 with it, and none of 2,400 other
 	// requests was refused.
-	OftenCrashes int
+	RepeatedCrashes int
 	// TiedCrashes is how many servers must have crashed during several requests that
 	// always ran together for all of them to be blocked. Until then one of them is
 	// probed at intervals, which tells them apart.
@@ -29,65 +29,65 @@
 	TiedProbeAfter time.Duration
 	// ProbeAfter is how long after its last crash a blocked request is probed again, in
 	// case the servers have been fixed. Each failed probe multiplies the delay by
-	// ProbeFactor, up to ProbeAtMost. A shorter delay serves wrongly blocked requests
+	// ProbeFactor, up to MaxProbeDelay. A shorter delay serves wrongly blocked requests
 	// sooner, but each probe of a request that is to blame costs a server, and the
 	// users allow three in all.
-	ProbeAfter  time.Duration
-	ProbeFactor int
-	ProbeAtMost time.Duration
+	ProbeAfter    time.Duration
+	ProbeFactor   int
+	MaxProbeDelay time.Duration
 	// ProbeSpread is the time in which the probability that an instance probes a
 	// request doubles. All instances know when a probe is due, and only one should make
 	// it.
 	ProbeSpread time.Duration
 	// Memory is how long the crash of a server is remembered. It must be longer than
-	// BlockCrashes times ProbeAtMost, or a request would be forgotten between two
+	// BlockCrashes times MaxProbeDelay, or a request would be forgotten between two
 	// probes.
 	Memory time.Duration
-	// BrokenFor is how long a request whose connection broke waits for confirmation
+	// ConfirmTimeout is how long a request whose connection broke waits for confirmation
 	// that its server has crashed.
-	BrokenFor time.Duration
-	// MostEnds limits the remembered crashes, and MostRan the requests of each, at
+	ConfirmTimeout time.Duration
+	// MaxCrashes limits the remembered crashes, and MaxRequestsPerCrash the requests of each, at
 	// about 50 bytes apiece. Beyond the limits the oldest crashes and the last requests
 	// are dropped.
-	MostEnds int
-	MostRan  int
+	MaxCrashes          int
+	MaxRequestsPerCrash int
 	// FreshFor is how long a crash is part of each update after something new was
 	// learned about it. It spans several updates, since datagrams are sometimes lost.
 	FreshFor time.Duration
 	// RepairEvery is the interval between updates that repeat crashes which are no
-	// longer fresh, RepairEnds at a time, for instances that missed them.
-	RepairEvery time.Duration
-	RepairEnds  int
+	// longer fresh, RepairCrashes at a time, for instances that missed them.
+	RepairEvery   time.Duration
+	RepairCrashes int
 	// RecentFor is how long a crash is repeated that way whatever requests ran there.
 	// Later it is repeated only if it counts against a request.
 	RecentFor time.Duration
-	// UpdateRan limits the requests in one update, at about 12 bytes each, and
+	// UpdateRequests limits the requests in one update, at about 12 bytes each, and
 	// UpdateMarks its marks, at about 16 bytes each.
-	UpdateRan   int
-	UpdateMarks int
+	UpdateRequests int
+	UpdateMarks    int
 }
 
 // DefaultConfig returns the settings that meet the users' requirements.
 func DefaultConfig() Config {
 	return Config{
-		SuspectCrashes: 2,
-		BlockCrashes:   3,
-		OftenCrashes:   5,
-		TiedCrashes:    5,
-		TiedProbeAfter: 2 * time.Second,
-		ProbeAfter:     10 * time.Second,
-		ProbeFactor:    6,
-		ProbeAtMost:    12 * time.Minute,
-		ProbeSpread:    time.Second,
-		Memory:         time.Hour,
-		BrokenFor:      2 * time.Second,
-		MostEnds:       512,
-		MostRan:        128,
-		FreshFor:       time.Second,
-		RepairEvery:    time.Second,
-		RepairEnds:     4,
-		RecentFor:      10 * time.Second,
-		UpdateRan:      80,
-		UpdateMarks:    16,
+		SuspectCrashes:      2,
+		BlockCrashes:        3,
+		RepeatedCrashes:     5,
+		TiedCrashes:         5,
+		TiedProbeAfter:      2 * time.Second,
+		ProbeAfter:          10 * time.Second,
+		ProbeFactor:         6,
+		MaxProbeDelay:       12 * time.Minute,
+		ProbeSpread:         time.Second,
+		Memory:              time.Hour,
+		ConfirmTimeout:      2 * time.Second,
+		MaxCrashes:          512,
+		MaxRequestsPerCrash: 128,
+		FreshFor:            time.Second,
+		RepairEvery:         time.Second,
+		RepairCrashes:       4,
+		RecentFor:           10 * time.Second,
+		UpdateRequests:      80,
+		UpdateMarks:         16,
 	}
 }
--- a/poison/crowd_test.go
+++ b/poison/crowd_test.go
@@ -176,7 +176,7 @@
 	name := fmt.Sprint(server.name, "-", server.runNumber)
 	noticed := make(map[int]bool)
 	for _, run := range server.running {
-		s.instances[run.instance].Broke(name, request(run.number), run.started, s.now)
+		s.instances[run.instance].ConnectionBroke(name, request(run.number), run.started, s.now)
 		noticed[run.instance] = true
 		run.admission.Release()
 		s.retryLater(*run, retryDelay, &s.results.lost)
--- a/poison/judge.go
+++ b/poison/judge.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// Suspicious reports whether any request is not clear. If none is, requests need no
+// HasSuspects reports whether any request is not clear. If none is, requests need no
 // call to Admit.
-func (t *Tracker) Suspicious() bool { return len(*t.suspects.Load()) > 0 }
+func (t *Tracker) HasSuspects() bool { return len(*t.suspects.Load()) > 0 }
 
 // Admit decides what happens to a request that has arrived.
 func (t *Tracker) Admit(request Fingerprints, now time.Time) Admission {
@@ -160,8 +160,8 @@
 func (t *Tracker) probeDelay(probes int) time.Duration {
 	pause := t.config.ProbeAfter
 	for range probes {
-		pause = min(pause*time.Duration(t.config.ProbeFactor), t.config.ProbeAtMost)
-		if pause == t.config.ProbeAtMost {
+		pause = min(pause*time.Duration(t.config.ProbeFactor), t.config.MaxProbeDelay)
+		if pause == t.config.MaxProbeDelay {
 			break
 		}
 	}
--- a/poison/memory.go
+++ b/poison/memory.go
@@ -38,7 +38,7 @@
 		isNew = t.recount(server)
 	}
 	for request, startedAt := range started {
-		if _, known := crash.requests[request]; known || len(crash.requests) >= t.config.MostRan {
+		if _, known := crash.requests[request]; known || len(crash.requests) >= t.config.MaxRequestsPerCrash {
 			continue
 		}
 		isNew = true
@@ -99,7 +99,7 @@
 // false if the new crash, at the given time, is older than all others. The caller holds
 // the lock.
 func (t *Tracker) evictOldest(at time.Time) bool {
-	if len(t.crashes) < t.config.MostEnds {
+	if len(t.crashes) < t.config.MaxCrashes {
 		return true
 	}
 	oldest := t.crashesByAge()[0]
@@ -145,7 +145,7 @@
 			isNew = true
 		}
 	}
-	if !known && len(t.cleared) >= t.config.MostEnds {
+	if !known && len(t.cleared) >= t.config.MaxCrashes {
 		dropOldest(t.cleared)
 	}
 	next := mark{at: at, count: before.count + 1}
@@ -164,7 +164,7 @@
 	if (known && count <= before.count) || !at.After(t.cleared[request].at) {
 		return false
 	}
-	if !known && len(t.probes) >= t.config.MostEnds {
+	if !known && len(t.probes) >= t.config.MaxCrashes {
 		dropOldest(t.probes)
 	}
 	t.probes[request] = mark{at: at, count: count, freshUntil: freshUntil}
--- a/poison/tracker.go
+++ b/poison/tracker.go
@@ -133,10 +133,10 @@
 
 func serverRunOf(name string) serverRun { return serverRun(xxhash.Sum64String(name)) }
 
-// Broke records that the connection of a request, which was sent at began, broke at a
+// ConnectionBroke records that the connection of a request, which was sent at began, broke at a
 // run of a server. It returns whether the caller should check if the server has
 // crashed, which is the case for the first request that breaks there.
-func (t *Tracker) Broke(server string, request Fingerprints, began, now time.Time) (first bool) {
+func (t *Tracker) ConnectionBroke(server string, request Fingerprints, began, now time.Time) (first bool) {
 	run := serverRunOf(server)
 	t.mu.Lock()
 	if t.crashes[run] != nil {
@@ -148,13 +148,13 @@
 	}
 	defer t.mu.Unlock()
 	pending := t.unconfirmed[run]
-	if pending == nil || now.Sub(pending.since) > t.config.BrokenFor {
+	if pending == nil || now.Sub(pending.since) > t.config.ConfirmTimeout {
 		pending = &unconfirmedCrash{since: now, started: make(map[Fingerprint]time.Time)}
 		t.unconfirmed[run] = pending
 		first = true
 	}
 	for _, fingerprint := range request.both() {
-		if len(pending.started) < t.config.MostRan {
+		if len(pending.started) < t.config.MaxRequestsPerCrash {
 			pending.started[fingerprint] = began
 			t.knownFingerprints.Store(fingerprint, struct{}{})
 		}
@@ -195,9 +195,9 @@
 	t.notify(changes, isNew)
 }
 
-// Remembers reports whether any crash is recorded. If none is, requests need no
+// HasRecords reports whether any crash is recorded. If none is, requests need no
 // fingerprint.
-func (t *Tracker) Remembers() bool { return t.hasRecords.Load() }
+func (t *Tracker) HasRecords() bool { return t.hasRecords.Load() }
 
 // State returns what is known about a request.
 func (t *Tracker) State(request Fingerprints) State {
@@ -218,10 +218,10 @@
 	return one
 }
 
-// MayRepeat reports whether a request whose connection broke may be sent again within
+// MayRetry reports whether a request whose connection broke may be sent again within
 // the same attempt. Executions on servers that are not yet known to have crashed count
 // as well.
-func (t *Tracker) MayRepeat(request Fingerprints) bool {
+func (t *Tracker) MayRetry(request Fingerprints) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, fingerprint := range request.both() {
@@ -274,7 +274,7 @@
 // holds the lock.
 func (t *Tracker) dropUnconfirmed(now time.Time) {
 	for server, pending := range t.unconfirmed {
-		if now.Sub(pending.since) <= t.config.BrokenFor {
+		if now.Sub(pending.since) <= t.config.ConfirmTimeout {
 			continue
 		}
 		delete(t.unconfirmed, server)
--- a/poison/tracker_test.go
+++ b/poison/tracker_test.go
@@ -36,7 +36,7 @@
 // crash has a server crash during requests.
 func crash(t *Tracker, server string, now time.Time, requests ...Fingerprints) {
 	for _, request := range requests {
-		t.Broke(server, request, now.Add(-executionTime), now)
+		t.ConnectionBroke(server, request, now.Add(-executionTime), now)
 	}
 	t.Crashed(server, now)
 }
@@ -63,7 +63,7 @@
 func TestBrokenConnectionIsNotACrash(t *testing.T) {
 	tracker := newTestTracker()
 	for i := range 5 {
-		if first := tracker.Broke(fmt.Sprint("s", i), request(7), start, start); !first {
+		if first := tracker.ConnectionBroke(fmt.Sprint("s", i), request(7), start, start); !first {
 			t.Error("Broke did not ask for a check of the server")
 		}
 	}
@@ -71,8 +71,8 @@
 	for i := range 5 {
 		tracker.Crashed(fmt.Sprint("s", i), start.Add(10*time.Second))
 	}
-	if got := tracker.State(request(7)); got != Clear || tracker.Remembers() {
-		t.Errorf("the request is %s, Remembers() = %t", got, tracker.Remembers())
+	if got := tracker.State(request(7)); got != Clear || tracker.HasRecords() {
+		t.Errorf("the request is %s, Remembers() = %t", got, tracker.HasRecords())
 	}
 }
 
@@ -86,7 +86,7 @@
 		t.Errorf("the request is %s, want clear", got)
 	}
 	// Reports from others of an earlier crash do not count either.
-	tracker.Merge(&Update{Ends: []End{{Server: uint64(serverRunOf("s0")), AgeMillis: 6000, Ran: []Ran{{Request: request(7).OfCaller}, {Request: request(7).Content}}}}}, true, start.Add(6*crashInterval))
+	tracker.Merge(&Update{Crashes: []Crash{{Server: uint64(serverRunOf("s0")), AgeMillis: 6000, Requests: []RunningRequest{{Request: request(7).OfCaller}, {Request: request(7).Content}}}}}, true, start.Add(6*crashInterval))
 	crash(tracker, "s3", start.Add(7*crashInterval), request(7))
 	crash(tracker, "s4", start.Add(8*crashInterval), request(7))
 	if got := tracker.State(request(7)); got != Suspect {
@@ -101,8 +101,8 @@
 	for i := range 3 {
 		at := start.Add(time.Duration(i) * time.Second)
 		server := fmt.Sprint("s", i)
-		tracker.Broke(server, request(7), at, at)
-		tracker.Broke(server, request(8), at, at)
+		tracker.ConnectionBroke(server, request(7), at, at)
+		tracker.ConnectionBroke(server, request(8), at, at)
 		tracker.Completed(request(7), at.Add(100*time.Millisecond))
 		tracker.Crashed(server, at.Add(300*time.Millisecond))
 	}
@@ -239,16 +239,16 @@
 		if i%100 == 0 {
 			if update := tracker.Update(now); update != nil {
 				ran := 0
-				for _, end := range update.Ends {
-					ran += len(end.Ran)
+				for _, end := range update.Crashes {
+					ran += len(end.Requests)
 				}
-				if encoded, err := cbor.Marshal(update); err != nil || len(encoded) > 1400 || ran > config.UpdateRan {
+				if encoded, err := cbor.Marshal(update); err != nil || len(encoded) > 1400 || ran > config.UpdateRequests {
 					t.Errorf("an update has %d bytes and %d requests, error %v", len(encoded), ran, err)
 				}
 			}
 		}
 	}
-	if len(tracker.crashes) > config.MostEnds || len(tracker.crashesOf) > config.MostEnds*config.MostRan {
+	if len(tracker.crashes) > config.MaxCrashes || len(tracker.crashesOf) > config.MaxCrashes*config.MaxRequestsPerCrash {
 		t.Errorf("%d crashes, %d requests", len(tracker.crashes), len(tracker.crashesOf))
 	}
 	known := 0
@@ -262,7 +262,7 @@
 	tracker := newTestTracker()
 	for i, age := range []int64{-1, -1 << 40, DefaultConfig().Memory.Milliseconds(), 1 << 60} {
 		tracker.Merge(&Update{
-			Ends:    []End{{Server: uint64(i), AgeMillis: age, Ran: []Ran{{Request: 7}}}},
+			Crashes: []Crash{{Server: uint64(i), AgeMillis: age, Requests: []RunningRequest{{Request: 7}}}},
 			Cleared: []Mark{{Request: 7, AgeMillis: age}}, Probes: []Mark{{Request: 7, AgeMillis: age, Count: 1}},
 		}, true, start)
 	}
@@ -307,7 +307,7 @@
 	tracker := newTestTracker()
 	for i := range 12 {
 		server, now := fmt.Sprint("s", i), start.Add(time.Duration(i)*10*time.Millisecond)
-		tracker.Broke(server, requestOf(7, i), start.Add(-time.Second), now)
+		tracker.ConnectionBroke(server, requestOf(7, i), start.Add(-time.Second), now)
 		tracker.Crashed(server, now)
 	}
 	if got := tracker.State(requestOf(7, 0)); got != Clear {
@@ -321,7 +321,7 @@
 	for i := range 2 * maxCandidates {
 		ran[Fingerprint(2*i)] = make(crashSet)
 		for range 20 {
-			server := random.IntN(DefaultConfig().MostEnds)
+			server := random.IntN(DefaultConfig().MaxCrashes)
 			at := start.Add(time.Duration(server) * time.Second)
 			ran[Fingerprint(2*i)][serverRun(server)] = execution{started: at, crashed: at}
 		}
--- a/poison/update.go
+++ b/poison/update.go
@@ -10,25 +10,25 @@
 // part of what the sender knows. Merging updates is idempotent and does not depend on
 // their order.
 type Update struct {
-	Ends    []End  `cbor:"1,keyasint,omitempty"`
-	Cleared []Mark `cbor:"2,keyasint,omitempty"`
-	Probes  []Mark `cbor:"3,keyasint,omitempty"`
+	Crashes []Crash `cbor:"1,keyasint,omitempty"`
+	Cleared []Mark  `cbor:"2,keyasint,omitempty"`
+	Probes  []Mark  `cbor:"3,keyasint,omitempty"`
 }
 
-// End is the crash of a server run, with requests that were running there.
-type End struct {
+// Crash is the crash of a server run, with requests that were running there.
+type Crash struct {
 	_         struct{} `cbor:",toarray"`
 	Server    uint64
 	AgeMillis int64
-	Ran       []Ran
+	Requests  []RunningRequest
 }
 
-// Ran is a request that was running on a server when the server crashed.
-type Ran struct {
+// RunningRequest is a request that was running on a server when the server crashed.
+type RunningRequest struct {
 	_       struct{} `cbor:",toarray"`
 	Request Fingerprint
-	// ForMillis is how long the request had been running.
-	ForMillis int64
+	// RunMillis is how long the request had been running.
+	RunMillis int64
 }
 
 // Mark is an event of a request: it completed, or a probe of it started.
@@ -49,7 +49,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	update := &Update{}
-	room := t.config.UpdateRan
+	room := t.config.UpdateRequests
 	for _, server := range t.freshCrashes(now) {
 		room = t.appendCrash(update, server, now, room)
 	}
@@ -59,30 +59,30 @@
 		for _, server := range t.nextToRepair(now) {
 			room = t.appendCrash(update, server, now, room)
 		}
-		old = t.config.RepairEnds
+		old = t.config.RepairCrashes
 	}
 	update.Cleared = t.marksToSend(t.cleared, old, now)
 	update.Probes = t.marksToSend(t.probes, old, now)
-	if len(update.Ends)+len(update.Cleared)+len(update.Probes) == 0 {
+	if len(update.Crashes)+len(update.Cleared)+len(update.Probes) == 0 {
 		return nil
 	}
 	return update
 }
 
-// Whole returns everything that counts against requests, in as many updates as it
+// FullUpdates returns everything that counts against requests, in as many updates as it
 // takes, for an instance that has just started.
-func (t *Tracker) Whole(now time.Time) []*Update {
+func (t *Tracker) FullUpdates(now time.Time) []*Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var updates []*Update
-	update, room := &Update{}, t.config.UpdateRan
+	update, room := &Update{}, t.config.UpdateRequests
 	for _, server := range t.crashesByAge() {
 		if !t.isRelevant(server, now) {
 			continue
 		}
 		if room == 0 {
 			updates = append(updates, update)
-			update, room = &Update{}, t.config.UpdateRan
+			update, room = &Update{}, t.config.UpdateRequests
 		}
 		room = t.appendCrash(update, server, now, room)
 	}
@@ -91,7 +91,7 @@
 			update.Probes = append(update.Probes, probe.message(request, now))
 		}
 	}
-	if len(update.Ends) > 0 {
+	if len(update.Crashes) > 0 {
 		updates = append(updates, update)
 	}
 	return updates
@@ -101,17 +101,17 @@
 // returns the remaining room. The caller holds the lock.
 func (t *Tracker) appendCrash(update *Update, server serverRun, now time.Time, room int) int {
 	crash := t.crashes[server]
-	end := End{Server: uint64(server), AgeMillis: now.Sub(crash.at).Milliseconds()}
+	end := Crash{Server: uint64(server), AgeMillis: now.Sub(crash.at).Milliseconds()}
 	recent := now.Sub(crash.at) < t.config.RecentFor
 	for request, running := range crash.requests {
-		if len(end.Ran) < room && (recent || t.candidates[request] != nil) {
-			end.Ran = append(end.Ran, Ran{Request: request, ForMillis: crash.at.Sub(running.started).Milliseconds()})
+		if len(end.Requests) < room && (recent || t.candidates[request] != nil) {
+			end.Requests = append(end.Requests, RunningRequest{Request: request, RunMillis: crash.at.Sub(running.started).Milliseconds()})
 		}
 	}
-	if len(end.Ran) > 0 {
-		update.Ends = append(update.Ends, end)
+	if len(end.Requests) > 0 {
+		update.Crashes = append(update.Crashes, end)
 	}
-	return room - len(end.Ran)
+	return room - len(end.Requests)
 }
 
 // freshCrashes returns the crashes that other instances should receive, with the most
@@ -142,15 +142,15 @@
 	return false
 }
 
-// nextToRepair returns up to RepairEnds relevant crashes in round-robin order. The
+// nextToRepair returns up to RepairCrashes relevant crashes in round-robin order. The
 // caller holds the lock.
 func (t *Tracker) nextToRepair(now time.Time) []serverRun {
 	all := slices.DeleteFunc(t.crashesByAge(), func(server serverRun) bool { return !t.isRelevant(server, now) })
 	if len(all) == 0 {
 		return nil
 	}
-	selected := make([]serverRun, 0, t.config.RepairEnds)
-	for i := range min(t.config.RepairEnds, len(all)) {
+	selected := make([]serverRun, 0, t.config.RepairCrashes)
+	for i := range min(t.config.RepairCrashes, len(all)) {
 		selected = append(selected, all[(t.nextRepair+i)%len(all)])
 	}
 	t.nextRepair = (t.nextRepair + len(selected)) % len(all)
@@ -211,9 +211,9 @@
 			isNew = t.markProbed(mark.Request, at, mark.Count, freshUntil) || isNew
 		}
 	}
-	for _, end := range update.Ends {
+	for _, end := range update.Crashes {
 		if at, ok := t.eventTime(end.AgeMillis, now); ok {
-			isNew = t.addCrash(serverRun(end.Server), at, end.startTimes(at, t.config.MostRan), freshUntil, now) || isNew
+			isNew = t.addCrash(serverRun(end.Server), at, end.startTimes(at, t.config.MaxRequestsPerCrash), freshUntil, now) || isNew
 		}
 	}
 	changes := t.reevaluate()
@@ -224,10 +224,10 @@
 
 // startTimes returns the start times of the requests that were running on a server
 // when it crashed, for at most as many requests as most.
-func (e End) startTimes(crashed time.Time, most int) map[Fingerprint]time.Time {
-	began := make(map[Fingerprint]time.Time, min(len(e.Ran), most))
-	for _, one := range e.Ran[:min(len(e.Ran), most)] {
-		ranFor := min(max(one.ForMillis, 0), maxReportedRuntime.Milliseconds())
+func (e Crash) startTimes(crashed time.Time, most int) map[Fingerprint]time.Time {
+	began := make(map[Fingerprint]time.Time, min(len(e.Requests), most))
+	for _, one := range e.Requests[:min(len(e.Requests), most)] {
+		ranFor := min(max(one.RunMillis, 0), maxReportedRuntime.Milliseconds())
 		began[one.Request] = crashed.Add(-time.Duration(ranFor) * time.Millisecond)
 	}
 	return began
--- a/reason/reason.go
+++ b/reason/reason.go
@@ -67,9 +67,9 @@
 type Info struct {
 	Reason  Reason
 	Meaning string
-	// Cell is the table cell or the settings key that sets the limit behind the
+	// GovernedBy is the table cell or the settings key that sets the limit behind the
 	// reason.
-	Cell string
+	GovernedBy string
 }
 
 // All lists every reason with its meaning, in the order of the operators' page.
--- a/reason/reason_test.go
+++ b/reason/reason_test.go
@@ -20,7 +20,7 @@
 	page.WriteString("`mastwheel_dropped_answers_total` under the label `reason`.\n\n")
 	page.WriteString("| reason | meaning | governed by |\n|---|---|---|\n")
 	for _, info := range All {
-		fmt.Fprintf(&page, "| `%s` | %s | %s |\n", info.Reason, info.Meaning, info.Cell)
+		fmt.Fprintf(&page, "| `%s` | %s | %s |\n", info.Reason, info.Meaning, info.GovernedBy)
 	}
 	goldie.New(t, goldie.WithFixtureDir("../docs/operators"), goldie.WithNameSuffix(".md")).
 		Assert(t, "reasons", []byte(page.String()))
--- a/request/claims.go
+++ b/request/claims.go
@@ -17,7 +17,7 @@
 }
 
 // set claims an attempt in place of the previous attempt of its request.
-func (c *claims) set(key route.HoldKey) {
+func (c *claims) set(key route.ReservationKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current == nil {
@@ -33,8 +33,8 @@
 	delete(c.current, requestID)
 }
 
-// Claims reports whether a request of this instance works on an attempt.
-func (r *Runner) Claims(key route.HoldKey) bool {
+// IsClaimed reports whether a request of this instance works on an attempt.
+func (r *Runner) IsClaimed(key route.ReservationKey) bool {
 	r.claims.mu.Lock()
 	defer r.claims.mu.Unlock()
 	attempt, claimed := r.claims.current[key.RequestID]
--- a/request/life.go
+++ b/request/life.go
@@ -35,8 +35,8 @@
 	// Ended means that the request failed. Its outcome says whether any part
 	// may have run.
 	Ended
-	// Departed means that the caller has disconnected.
-	Departed
+	// CallerDisconnected means that the caller has disconnected.
+	CallerDisconnected
 )
 
 var stateNames = [...]string{
@@ -53,8 +53,8 @@
 const (
 	// Admit: the request was admitted within the caps.
 	Admit Event = iota
-	// Promise: a steward has reserved decode memory.
-	Promise
+	// ReservationGranted: a steward has reserved decode memory.
+	ReservationGranted
 	// Send: from now on a byte may have reached a backend server.
 	Send
 	// Disclaim: the order of the last Send was not run. The server reported so,
@@ -70,8 +70,8 @@
 	Deliver
 	// GiveUp: no further attempt will be made.
 	GiveUp
-	// Depart: the caller has disconnected.
-	Depart
+	// CallerDisconnect: the caller has disconnected.
+	CallerDisconnect
 )
 
 var eventNames = [...]string{
@@ -85,36 +85,36 @@
 // transitions lists every allowed transition. Any other one is a violated
 // invariant.
 var transitions = map[State]map[Event]State{
-	Received: {Admit: Waiting, GiveUp: Ended, Depart: Departed},
-	Waiting:  {Promise: Reserved, Send: Sent, GiveUp: Ended, Depart: Departed},
-	Reserved: {Send: Prefilling, Retry: Waiting, GiveUp: Ended, Depart: Departed},
+	Received: {Admit: Waiting, GiveUp: Ended, CallerDisconnect: CallerDisconnected},
+	Waiting:  {ReservationGranted: Reserved, Send: Sent, GiveUp: Ended, CallerDisconnect: CallerDisconnected},
+	Reserved: {Send: Prefilling, Retry: Waiting, GiveUp: Ended, CallerDisconnect: CallerDisconnected},
 	Prefilling: {
-		Prefilled: Transferring, Disclaim: Reserved, Retry: Waiting, GiveUp: Ended, Depart: Departed,
+		Prefilled: Transferring, Disclaim: Reserved, Retry: Waiting, GiveUp: Ended, CallerDisconnect: CallerDisconnected,
 	},
 	// Promise reserves memory at another decode engine for the same prefill
 	// result.
 	Transferring: {
-		Promise: Transferring, Imported: Decoding, Retry: Waiting, GiveUp: Ended, Depart: Departed,
+		ReservationGranted: Transferring, Imported: Decoding, Retry: Waiting, GiveUp: Ended, CallerDisconnect: CallerDisconnected,
 	},
-	Decoding: {Deliver: Delivered, Retry: Waiting, GiveUp: Ended, Depart: Departed},
+	Decoding: {Deliver: Delivered, Retry: Waiting, GiveUp: Ended, CallerDisconnect: CallerDisconnected},
 	Sent: {
-		Deliver: Delivered, Disclaim: Waiting, Retry: Waiting, GiveUp: Ended, Depart: Departed,
+		Deliver: Delivered, Disclaim: Waiting, Retry: Waiting, GiveUp: Ended, CallerDisconnect: CallerDisconnected,
 	},
 }
 
-// Life is the state of one request. The zero value is in state Received.
-type Life struct {
+// Lifecycle is the state of one request. The zero value is in state Received.
+type Lifecycle struct {
 	state State
 	// unresolved counts the orders that were sent and not disclaimed.
 	unresolved int
 }
 
 // State returns the current state.
-func (l *Life) State() State { return l.state }
+func (l *Lifecycle) State() State { return l.state }
 
-// Step applies an event. It panics when the event is not allowed in the current
+// Apply applies an event. It panics when the event is not allowed in the current
 // state, since that is a violated invariant.
-func (l *Life) Step(event Event) {
+func (l *Lifecycle) Apply(event Event) {
 	next, ok := transitions[l.state][event]
 	if !ok {
 		panic(fmt.Sprintf("request: event %s is not allowed in state %s", event, l.state))
@@ -130,11 +130,11 @@
 
 // MayHaveRun reports whether a backend server may have run any part of the
 // request.
-func (l *Life) MayHaveRun() bool { return l.unresolved > 0 }
+func (l *Lifecycle) MayHaveRun() bool { return l.unresolved > 0 }
 
 // Outcome returns the outcome that may be reported to the caller, now or at the
 // end.
-func (l *Life) Outcome() reason.Outcome {
+func (l *Lifecycle) Outcome() reason.Outcome {
 	switch {
 	case l.state == Delivered:
 		return reason.Done
--- a/request/life_test.go
+++ b/request/life_test.go
@@ -16,7 +16,7 @@
 // outcome never changes.
 func TestLifeOutcomes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		life := Life{}
+		life := Lifecycle{}
 		unresolved := 0
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			events := transitions[life.State()]
@@ -24,13 +24,13 @@
 				break
 			}
 			choices := make([]Event, 0, len(events))
-			for event := Admit; event <= Depart; event++ {
+			for event := Admit; event <= CallerDisconnect; event++ {
 				if _, ok := events[event]; ok {
 					choices = append(choices, event)
 				}
 			}
 			event := rapid.SampledFrom(choices).Draw(t, "event")
-			life.Step(event)
+			life.Apply(event)
 			switch event {
 			case Send:
 				unresolved++
@@ -49,17 +49,17 @@
 
 func TestLifeTransitions(t *testing.T) {
 	Convey("Final states have no transitions, and every other state allows Depart and GiveUp", t, func() {
-		for state := Received; state <= Departed; state++ {
-			final := state == Delivered || state == Ended || state == Departed
+		for state := Received; state <= CallerDisconnected; state++ {
+			final := state == Delivered || state == Ended || state == CallerDisconnected
 			So(len(transitions[state]) == 0, ShouldEqual, final)
 			if !final {
-				So(transitions[state][Depart], ShouldEqual, Departed)
+				So(transitions[state][CallerDisconnect], ShouldEqual, CallerDisconnected)
 				So(transitions[state][GiveUp], ShouldEqual, Ended)
 			}
 		}
 	})
 	Convey("An event that the state does not allow panics", t, func() {
-		So(func() { (&Life{}).Step(Deliver) }, ShouldPanic)
+		So(func() { (&Lifecycle{}).Apply(Deliver) }, ShouldPanic)
 	})
 }
 
--- a/request/model.go
+++ b/request/model.go
@@ -27,7 +27,7 @@
 	req    Model
 	query  route.Query
 	cursor cursor
-	place  *route.Place
+	place  *route.AdmissionSlot
 	// stepsBelowTop is how far the priority is below the highest priority.
 	stepsBelowTop int
 	deadline      time.Time
@@ -35,8 +35,8 @@
 	lastTokenAt   time.Time
 	// prefill is the engine that reserved a turn. decode is the engine that
 	// reserved memory for the attempt.
-	prefill *route.Rated
-	decode  *route.Rated
+	prefill *route.ScoredCandidate
+	decode  *route.ScoredCandidate
 	// untilArrival is the expected time from the reservation of a turn until
 	// the KV cache is at the decode engine.
 	untilArrival time.Duration
@@ -81,7 +81,7 @@
 	if why != reason.None {
 		return m.giveUp(why, retryAfterBusy)
 	}
-	defer place.Leave()
+	defer place.Release()
 	m.place = place
 	m.stepsBelowTop = view.TopPriority - service.Priority
 	if team != nil {
--- a/request/plain.go
+++ b/request/plain.go
@@ -48,7 +48,7 @@
 	if why != reason.None {
 		return service.Answer{}, p.giveUp(why, retryAfterBusy)
 	}
-	defer place.Leave()
+	defer place.Release()
 	p.step(Admit, reason.None, "")
 	if why := p.recordIntent(ctx); why != reason.None {
 		return service.Answer{}, p.giveUp(why, retryAfterBusy)
@@ -112,14 +112,14 @@
 	query := route.Query{RequestID: p.req.ID, Zone: p.Zone, Exclude: p.tried, Now: clock.Now()}
 	decision := p.Runner.plainProfile.Decide(&query, p.Fleet, p.service.Plain)
 	p.recordDecision(&decision)
-	selected := decision.Chosen
+	selected := decision.Selected
 	if selected == nil {
 		return service.Answer{}, attemptResult{final: true, why: reason.NoBackend}
 	}
 	if !selected.Server.Breaker.Allow(query.Now) {
 		return service.Answer{}, attemptResult{why: reason.BackendRefused}
 	}
-	done := selected.Server.Begin(0)
+	done := selected.Server.RequestSent(0)
 	defer done()
 	// A call that was sent continues after the caller disconnects, since the
 	// caller may query its answer later.
@@ -137,7 +137,7 @@
 
 // classifyFailure decides how to go on after a failed call. Only a call that
 // did not run, or that may be repeated, is retried.
-func (p *plainRun) classifyFailure(selected *route.Rated, err error) attemptResult {
+func (p *plainRun) classifyFailure(selected *route.ScoredCandidate, err error) attemptResult {
 	switch {
 	case errors.Is(err, service.ErrUnreachable):
 		selected.Server.Breaker.Failure(clock.Now())
@@ -146,7 +146,7 @@
 	case errors.Is(err, service.ErrNotRun):
 		p.step(Disclaim, reason.BackendRefused, selected.Name)
 		return attemptResult{why: reason.BackendRefused}
-	case p.req.Idempotent || !p.config.Protect.Once:
+	case p.req.Idempotent || !p.config.Protect.NoDuplicateCalls:
 		selected.Server.Breaker.Failure(clock.Now())
 		p.step(Retry, reason.AnswerLost, selected.Name)
 		return attemptResult{why: reason.AnswerLost}
--- a/request/protections.go
+++ b/request/protections.go
@@ -7,20 +7,20 @@
 	// operation ID is sent. Without it, "not run" may be reported for a call
 	// that ran.
 	Witness bool
-	// Once keeps a call that may have run from being sent again. Without it, a
+	// NoDuplicateCalls keeps a call that may have run from being sent again. Without it, a
 	// non-idempotent call may run twice.
-	Once bool
-	// Match delivers a token only if it belongs to the current request and
+	NoDuplicateCalls bool
+	// MatchTokens delivers a token only if it belongs to the current request and
 	// attempt and has the next position. Without it, answers get mixed up.
-	Match bool
+	MatchTokens bool
 	// Cancel cancels the work of a disconnected caller until the engine
 	// confirms it. Without it, decode memory stays reserved.
 	Cancel bool
-	// Orphans lets stewards cancel the attempts of crashed home instances.
+	// CancelOrphans lets stewards cancel the attempts of crashed home instances.
 	// Without it, decode memory stays reserved.
-	Orphans bool
-	// Leaving keeps new work away from draining servers.
-	Leaving bool
+	CancelOrphans bool
+	// AvoidDraining keeps new work away from draining servers.
+	AvoidDraining bool
 	// Drain makes a planned stop wait for the requests in flight. Without it,
 	// they are cut off.
 	Drain bool
@@ -29,6 +29,6 @@
 // AllProtections returns Protections with every protection on.
 func AllProtections() Protections {
 	return Protections{
-		Witness: true, Once: true, Match: true, Cancel: true, Orphans: true, Leaving: true, Drain: true,
+		Witness: true, NoDuplicateCalls: true, MatchTokens: true, Cancel: true, CancelOrphans: true, AvoidDraining: true, Drain: true,
 	}
 }
--- a/request/reserve.go
+++ b/request/reserve.go
@@ -11,14 +11,14 @@
 )
 
 // release releases the reservation at a server.
-func (m *modelRun) release(server *route.Rated) {
+func (m *modelRun) release(server *route.ScoredCandidate) {
 	if m.config.Policy.Reserve {
 		m.Stewards.Release(server.Name, m.holdKey())
 	}
 }
 
-func (m *modelRun) holdKey() route.HoldKey {
-	return route.HoldKey{RequestID: m.req.ID, Attempt: m.attempt}
+func (m *modelRun) holdKey() route.ReservationKey {
+	return route.ReservationKey{RequestID: m.req.ID, Attempt: m.attempt}
 }
 
 // reserve waits for a turn at a prefill engine and a reservation of decode
@@ -32,7 +32,7 @@
 		}
 		why := m.tryReserve(ctx)
 		if why == reason.None {
-			m.step(Promise, reason.None, m.decode.Name)
+			m.step(ReservationGranted, reason.None, m.decode.Name)
 			return attemptResult{}, true
 		}
 		if m.shouldStopWaiting(why, clock.Now()) {
@@ -117,7 +117,7 @@
 	why := reason.NoBackend
 	for range m.service.Prefill {
 		decision := m.Runner.prefillProfile.Decide(&query, m.Fleet, m.service.Prefill)
-		selected := decision.Chosen
+		selected := decision.Selected
 		if selected == nil {
 			m.keepFilteredDecision(why, &decision)
 			break
@@ -134,7 +134,7 @@
 }
 
 // reserveTurn requests a turn that ends before the first token is due.
-func (m *modelRun) reserveTurn(ctx context.Context, selected *route.Rated, query *route.Query) reason.Reason {
+func (m *modelRun) reserveTurn(ctx context.Context, selected *route.ScoredCandidate, query *route.Query) reason.Reason {
 	uncached := query.Unread(selected.Candidate)
 	prefillTime := selected.Server.ReadTime(uncached)
 	transfer := m.transferTime()
@@ -150,8 +150,8 @@
 		}
 		maxAhead = selected.Server.ReadTokens(slack)
 	}
-	grant := m.requestReservation(ctx, selected.Name, route.Ask{
-		HoldKey: m.holdKey(), Tokens: max(uncached, 1), MostAhead: maxAhead, TTL: reservationTTL,
+	grant := m.requestReservation(ctx, selected.Name, route.Demand{
+		ReservationKey: m.holdKey(), Tokens: max(uncached, 1), MaxTokensAhead: maxAhead, TTL: reservationTTL,
 	})
 	m.untilArrival = selected.Server.ReadTime(grant.Ahead+uncached) + transfer
 	return grant.Refused
@@ -193,17 +193,17 @@
 	why := reason.NoBackend
 	for range m.service.Decode {
 		decision := m.Runner.decodeProfile.Decide(&query, m.Fleet, m.service.Decode)
-		if decision.Chosen == nil {
+		if decision.Selected == nil {
 			m.keepFilteredDecision(why, &decision)
 			break
 		}
-		if why = m.reserveMemory(ctx, decision.Chosen.Name); why == reason.None {
+		if why = m.reserveMemory(ctx, decision.Selected.Name); why == reason.None {
 			m.recordDecision(&decision)
-			m.decode = decision.Chosen
+			m.decode = decision.Selected
 			return reason.None
 		}
 		m.refusedDecision = &decision
-		query.Exclude = append(query.Exclude, decision.Chosen.Name)
+		query.Exclude = append(query.Exclude, decision.Selected.Name)
 	}
 	return why
 }
@@ -212,9 +212,9 @@
 	if !m.config.Policy.Reserve {
 		return reason.None
 	}
-	return m.requestReservation(ctx, server, route.Ask{
-		HoldKey: m.holdKey(), Pieces: m.query.Pieces, TTL: m.untilArrival + reservationTTL,
-		LandIn: m.untilArrival, HoldFor: m.decodeTime(), Headroom: m.headroom(),
+	return m.requestReservation(ctx, server, route.Demand{
+		ReservationKey: m.holdKey(), Pieces: m.query.Pieces, TTL: m.untilArrival + reservationTTL,
+		ArrivesIn: m.untilArrival, HoldFor: m.decodeTime(), Headroom: m.headroom(),
 	}).Refused
 }
 
@@ -224,7 +224,7 @@
 	if m.cursor.next > 0 {
 		return 0
 	}
-	return route.Headroom(m.place.OverShare(), m.stepsBelowTop)
+	return route.Headroom(m.place.ShareRatio(), m.stepsBelowTop)
 }
 
 // decodeTime is how long the decode engine is expected to hold the memory, at
@@ -234,7 +234,7 @@
 	return time.Duration(m.req.MaxTokens-m.cursor.next) * m.service.TBT
 }
 
-func (m *modelRun) requestReservation(ctx context.Context, server string, req route.Ask) route.Grant {
+func (m *modelRun) requestReservation(ctx context.Context, server string, req route.Demand) route.Grant {
 	ctx, cancel := context.WithTimeout(ctx, m.config.ReserveTimeout)
 	defer cancel()
 	return m.Stewards.Reserve(ctx, server, req)
--- a/request/runner.go
+++ b/request/runner.go
@@ -21,18 +21,18 @@
 
 // Stewards sends requests to the steward of any decode engine.
 type Stewards interface {
-	Reserve(ctx context.Context, server string, req route.Ask) route.Grant
+	Reserve(ctx context.Context, server string, req route.Demand) route.Grant
 	// Release returns at once. If the message is lost, the reservation expires
 	// by itself.
-	Release(server string, key route.HoldKey)
+	Release(server string, key route.ReservationKey)
 }
 
 // Witnesses sends requests to the witness that an operation ID names.
 type Witnesses interface {
 	Intent(ctx context.Context, id operation.ID) reason.Reason
-	// Settle returns at once. If the message is lost, the outcome stays unknown
+	// ReportOutcome returns at once. If the message is lost, the outcome stays unknown
 	// at the witness.
-	Settle(id operation.ID, status operation.Status)
+	ReportOutcome(id operation.ID, status operation.Status)
 }
 
 // Config holds the limits and the policy of one request.
@@ -134,8 +134,8 @@
 		decodeProfile:  config.Policy.Decode,
 		plainProfile:   route.PlainProfile(),
 	}
-	if !config.Protect.Leaving {
-		leaving := route.LeavingFilter{}.Name()
+	if !config.Protect.AvoidDraining {
+		leaving := route.DrainingFilter{}.Name()
 		r.prefillProfile, r.decodeProfile, r.plainProfile = r.prefillProfile.Without(leaving), r.decodeProfile.Without(leaving), r.plainProfile.Without(leaving)
 	}
 	return r
@@ -161,7 +161,7 @@
 // run is one request in progress.
 type run struct {
 	*Runner
-	life    Life
+	life    Lifecycle
 	record  *trace.Request
 	service *table.ServiceView
 	op      *operation.ID
@@ -196,7 +196,7 @@
 
 // step applies an event and adds it to the trace with its reason.
 func (r *run) step(event Event, why reason.Reason, server string) {
-	r.life.Step(event)
+	r.life.Apply(event)
 	r.record.Add(clock.Now(), trace.Step{
 		Attempt: r.attempt, State: r.life.State().String(), Reason: why, Server: server,
 	})
@@ -223,7 +223,7 @@
 		status := operation.Status{Outcome: outcome, Reason: why}
 		r.Operations.End(*r.op, status)
 		if r.intentRecorded {
-			r.Witnesses.Settle(*r.op, status)
+			r.Witnesses.ReportOutcome(*r.op, status)
 		}
 	}
 	r.Traces.Keep(r.record)
@@ -260,7 +260,7 @@
 }
 
 func (r *run) depart() Result {
-	r.step(Depart, reason.CallerGone, "")
+	r.step(CallerDisconnect, reason.CallerGone, "")
 	return r.finish(reason.CallerGone, 0)
 }
 
--- a/request/stream.go
+++ b/request/stream.go
@@ -16,7 +16,7 @@
 // the attempt fails.
 func (m *modelRun) stream(ctx context.Context) attemptResult {
 	target := m.decode
-	end := target.Server.Begin(0)
+	end := target.Server.RequestSent(0)
 	defer end()
 	why := reason.None
 	for range maxResumes + 1 {
@@ -42,7 +42,7 @@
 
 // streamOnce reads one stream to its end, or returns the reason why it ended
 // early.
-func (m *modelRun) streamOnce(ctx context.Context, target *route.Rated) reason.Reason {
+func (m *modelRun) streamOnce(ctx context.Context, target *route.ScoredCandidate) reason.Reason {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	watchdog := time.AfterFunc(m.config.TokenTimeout, stop)
@@ -72,7 +72,7 @@
 // deliverToken offers one token to the cursor. It returns false when the stream
 // must not be read further.
 func (m *modelRun) deliverToken(token engine.Token) bool {
-	if !m.config.Protect.Match {
+	if !m.config.Protect.MatchTokens {
 		m.cursor.next = token.Position
 		token.RequestID, token.Number = m.req.ID, m.attempt
 	}
@@ -93,7 +93,7 @@
 }
 
 // decodeFailed cancels the attempt at an engine that may still work on it.
-func (m *modelRun) decodeFailed(ctx context.Context, target *route.Rated) {
+func (m *modelRun) decodeFailed(ctx context.Context, target *route.ScoredCandidate) {
 	if ctx.Err() == nil {
 		target.Server.Breaker.Failure(clock.Now())
 		m.triedDecode = append(m.triedDecode, target.Name)
--- a/request/transfer.go
+++ b/request/transfer.go
@@ -29,8 +29,8 @@
 	return engine.PrefillResult{}, m.prefillFailed(ctx, selected, err), false
 }
 
-func (m *modelRun) orderPrefill(ctx context.Context, selected *route.Rated) (engine.PrefillResult, error) {
-	end := selected.Server.Begin(m.query.PromptTokens)
+func (m *modelRun) orderPrefill(ctx context.Context, selected *route.ScoredCandidate) (engine.PrefillResult, error) {
+	end := selected.Server.RequestSent(m.query.PromptTokens)
 	defer end()
 	started := clock.Now()
 	alone := selected.Server.InFlight() == 1 && selected.Server.WaitingTokens() <= m.query.PromptTokens
@@ -43,7 +43,7 @@
 	return result, err
 }
 
-func (m *modelRun) prefillFailed(ctx context.Context, selected *route.Rated, err error) attemptResult {
+func (m *modelRun) prefillFailed(ctx context.Context, selected *route.ScoredCandidate, err error) attemptResult {
 	notRun := errors.Is(err, engine.ErrUnreachable) || errors.Is(err, engine.ErrRefused)
 	if notRun {
 		m.step(Disclaim, reason.PrefillRefused, selected.Name)
@@ -85,7 +85,7 @@
 			return attemptResult{why: why}, false
 		}
 		m.Metrics.Retried(why)
-		m.step(Promise, why, m.decode.Name)
+		m.step(ReservationGranted, why, m.decode.Name)
 	}
 }
 
@@ -107,7 +107,7 @@
 // time.
 const importTimeoutFactor = 4
 
-func (m *modelRun) importTimeout(target *route.Rated) time.Duration {
+func (m *modelRun) importTimeout(target *route.ScoredCandidate) time.Duration {
 	expected, known := target.Server.Transfers.Time(m.query.PromptTokens)
 	if !known {
 		return m.config.ImportTimeout
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -13,19 +13,19 @@
 	Name string
 	Zone string
 	Role string
-	// Ordered is the role of an order that is still in progress. It is empty if
+	// PendingRole is the role of an order that is still in progress. It is empty if
 	// there is none.
-	Ordered string
-	// Unreached is set if recent queries to the engine failed. Such an engine
+	PendingRole string
+	// Unreachable is set if recent queries to the engine failed. Such an engine
 	// keeps its role for now.
-	Unreached bool
+	Unreachable bool
 }
 
 // available reports whether the engine could be ordered to change its role now.
-func (e Engine) available() bool { return !e.changing() && !e.Unreached }
+func (e Engine) available() bool { return !e.changing() && !e.Unreachable }
 
 // changing reports whether an order is in progress.
-func (e Engine) changing() bool { return e.Ordered != "" && e.Ordered != e.Role }
+func (e Engine) changing() bool { return e.PendingRole != "" && e.PendingRole != e.Role }
 
 // Change is the new role of one engine and the counts that led to it.
 type Change struct {
@@ -33,16 +33,16 @@
 	Role   string
 	// Prefill and Decode are the numbers of engines of each role. Want is the
 	// number of prefill engines that there should be.
-	Prefill int
-	Decode  int
-	Want    int
+	Prefill     int
+	Decode      int
+	WantPrefill int
 }
 
 // Next returns the next change that brings the roles closer to the share of
 // engines that should prefill. An engine that is changing counts as changed.
 // Each role keeps at least one engine.
 func Next(engines []Engine, share float64) (Change, bool) {
-	change := Change{Want: Wanted(len(engines), share)}
+	change := Change{WantPrefill: WantedPrefill(len(engines), share)}
 	for _, engine := range engines {
 		if roleAfter(engine) == table.RolePrefill {
 			change.Prefill++
@@ -50,27 +50,27 @@
 			change.Decode++
 		}
 	}
-	if len(engines) < 2 || change.Prefill == change.Want {
+	if len(engines) < 2 || change.Prefill == change.WantPrefill {
 		return Change{}, false
 	}
 	from := table.RolePrefill
 	change.Role = table.RoleDecode
-	if change.Prefill < change.Want {
+	if change.Prefill < change.WantPrefill {
 		from, change.Role = table.RoleDecode, table.RolePrefill
 	}
 	change.Engine = selectEngine(engines, from)
 	return change, change.Engine != ""
 }
 
-// Wanted returns how many of a number of engines should prefill.
-func Wanted(engines int, share float64) int {
+// WantedPrefill returns how many of a number of engines should prefill.
+func WantedPrefill(engines int, share float64) int {
 	want := int(math.Round(float64(engines) * share))
 	return max(min(want, engines-1), 1)
 }
 
 func roleAfter(engine Engine) string {
-	if engine.Ordered != "" {
-		return engine.Ordered
+	if engine.PendingRole != "" {
+		return engine.PendingRole
 	}
 	return engine.Role
 }
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -25,7 +25,7 @@
 				prefill++
 			}
 		}
-		want := Wanted(count, share)
+		want := WantedPrefill(count, share)
 		needed := max(prefill-want, want-prefill)
 		orders := 0
 		for {
@@ -53,13 +53,13 @@
 func carryOut(t *rapid.T, engines []Engine, change Change) {
 	for i := range engines {
 		if engines[i].Name == change.Engine {
-			engines[i].Ordered = change.Role
+			engines[i].PendingRole = change.Role
 		}
-		if engines[i].Ordered != "" && rapid.Bool().Draw(t, "carried out") {
-			engines[i].Role = engines[i].Ordered
+		if engines[i].PendingRole != "" && rapid.Bool().Draw(t, "carried out") {
+			engines[i].Role = engines[i].PendingRole
 		}
-		if engines[i].Ordered == engines[i].Role && rapid.Bool().Draw(t, "forgotten") {
-			engines[i].Ordered = ""
+		if engines[i].PendingRole == engines[i].Role && rapid.Bool().Draw(t, "forgotten") {
+			engines[i].PendingRole = ""
 		}
 	}
 }
--- a/route/admission.go
+++ b/route/admission.go
@@ -21,8 +21,8 @@
 	activeShares atomic.Int64
 }
 
-// Place is a request's slot within the caps. Leave releases it.
-type Place struct {
+// AdmissionSlot is a request's slot within the caps. Leave releases it.
+type AdmissionSlot struct {
 	admission *Admission
 	service   *atomic.Int64
 	team      *atomic.Int64
@@ -43,11 +43,11 @@
 var noTeam = &table.TeamView{Share: 1}
 
 // Admit reserves a place for the request, or returns the cap that refuses it.
-func (a *Admission) Admit(service *table.ServiceView, team *table.TeamView) (*Place, reason.Reason) {
+func (a *Admission) Admit(service *table.ServiceView, team *table.TeamView) (*AdmissionSlot, reason.Reason) {
 	if team == nil {
 		team = noTeam
 	}
-	place := &Place{
+	place := &AdmissionSlot{
 		admission: a, service: counter(&a.services, service.Name), team: counter(&a.teams, team.Name), share: int64(team.Share),
 	}
 	if !a.increment(place.service, a.localLimit(service.InFlight)) {
@@ -61,17 +61,17 @@
 	return place, reason.None
 }
 
-// Leave releases the place.
-func (p *Place) Leave() {
+// Release releases the place.
+func (p *AdmissionSlot) Release() {
 	p.service.Add(-1)
 	p.admission.total.Add(-1)
 	p.admission.decrementTeam(p)
 }
 
-// OverShare returns the team's fraction of all requests in flight, divided by its
+// ShareRatio returns the team's fraction of all requests in flight, divided by its
 // fraction of the shares of all teams that have any in flight. Above 1 the team uses
 // more than its share.
-func (p *Place) OverShare() float64 {
+func (p *AdmissionSlot) ShareRatio() float64 {
 	own, total := p.team.Load(), p.admission.total.Load()
 	shares := p.admission.activeShares.Load()
 	if total <= 0 || shares <= p.share {
@@ -96,7 +96,7 @@
 
 // incrementTeam works like increment, and adds the team's share with its first
 // request.
-func (a *Admission) incrementTeam(p *Place, limit int64) bool {
+func (a *Admission) incrementTeam(p *AdmissionSlot, limit int64) bool {
 	inFlight := p.team.Add(1)
 	if inFlight == 1 {
 		a.activeShares.Add(p.share)
@@ -111,7 +111,7 @@
 // decrementTeam removes the team's share with its last request. Each change of the
 // count from and to zero adds and removes one share, so the sum is exact in any
 // order.
-func (a *Admission) decrementTeam(p *Place) {
+func (a *Admission) decrementTeam(p *AdmissionSlot) {
 	if p.team.Add(-1) == 0 {
 		a.activeShares.Add(-p.share)
 	}
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -47,16 +47,16 @@
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
 			steward := NewSteward()
 			now := time.Unix(1, 0)
-			report := EngineReport{TakenAt: now, Pieces: 10_000, Held: make(map[HoldKey]int)}
+			report := EngineReport{TakenAt: now, Pieces: 10_000, Held: make(map[ReservationKey]int)}
 			for i := range held {
-				report.Held[HoldKey{RequestID: fmt.Sprint(i)}] = 2
+				report.Held[ReservationKey{RequestID: fmt.Sprint(i)}] = 2
 			}
 			steward.Observe("w", report)
-			ask := Ask{HoldKey: HoldKey{RequestID: "r"}, Pieces: 2, TTL: time.Second}
+			ask := Demand{ReservationKey: ReservationKey{RequestID: "r"}, Pieces: 2, TTL: time.Second}
 			b.ReportAllocs()
 			for b.Loop() {
 				steward.Reserve("w", ask, now)
-				steward.Release("w", ask.HoldKey, now)
+				steward.Release("w", ask.ReservationKey, now)
 				steward.Observe("w", EngineReport{TakenAt: now.Add(time.Second), Pieces: 10_000, Held: report.Held})
 			}
 		})
--- a/route/decide.go
+++ b/route/decide.go
@@ -48,8 +48,8 @@
 	Score(q *Query, c Candidate) float64
 }
 
-// Weighted is a scorer with its weight in the total.
-type Weighted struct {
+// WeightedScorer is a scorer with its weight in the total.
+type WeightedScorer struct {
 	Scorer
 	Weight float64
 }
@@ -58,58 +58,58 @@
 type Picker interface {
 	Name() string
 	// Pick returns an index into rated, which is never empty.
-	Pick(q *Query, rated []Rated) int
+	Pick(q *Query, rated []ScoredCandidate) int
 }
 
-// Part is the score that one scorer gave.
-type Part struct {
+// ScorerScore is the score that one scorer gave.
+type ScorerScore struct {
 	Scorer string  `json:"scorer"`
 	Score  float64 `json:"score"`
 }
 
-// Rated is one candidate with its filter result and its scores.
-type Rated struct {
+// ScoredCandidate is one candidate with its filter result and its scores.
+type ScoredCandidate struct {
 	Candidate `json:"-"`
 	Name      string `json:"name"`
 	// DroppedBy names the filter that dropped the candidate; empty if it was kept.
-	DroppedBy string  `json:"dropped_by,omitempty"`
-	Parts     []Part  `json:"parts,omitempty"`
-	Total     float64 `json:"total"`
+	DroppedBy string        `json:"dropped_by,omitempty"`
+	Parts     []ScorerScore `json:"parts,omitempty"`
+	Total     float64       `json:"total"`
 }
 
 // Decision is the result of a selection with everything that led to it.
 type Decision struct {
-	// Chosen is the selected candidate; nil if all candidates were dropped.
-	Chosen *Rated `json:"-"`
+	// Selected is the selected candidate; nil if all candidates were dropped.
+	Selected *ScoredCandidate `json:"-"`
 	// Pick is the name of the selected candidate, for the encoded decision.
-	Pick   string  `json:"pick,omitempty"`
-	Picker string  `json:"picker"`
-	Rated  []Rated `json:"rated"`
+	Pick   string            `json:"pick,omitempty"`
+	Picker string            `json:"picker"`
+	Rated  []ScoredCandidate `json:"rated"`
 }
 
 // Profile defines how a server is selected: filters, then scorers, then a picker.
 type Profile struct {
 	Filters []Filter
-	Scorers []Weighted
+	Scorers []WeightedScorer
 	Picker  Picker
 }
 
 // Decide runs the profile over the backend servers of a pool. Candidates that were
 // kept come first in Decision.Rated.
 func (p *Profile) Decide(q *Query, fleet *Fleet, pool []*table.BackendView) Decision {
-	decision := Decision{Picker: p.Picker.Name(), Rated: make([]Rated, 0, len(pool))}
-	dropped := make([]Rated, 0, len(pool))
-	parts := make([]Part, 0, len(pool)*len(p.Scorers))
+	decision := Decision{Picker: p.Picker.Name(), Rated: make([]ScoredCandidate, 0, len(pool))}
+	dropped := make([]ScoredCandidate, 0, len(pool))
+	parts := make([]ScorerScore, 0, len(pool)*len(p.Scorers))
 	for _, backend := range pool {
 		candidate := Candidate{Backend: backend, Server: fleet.Server(backend.Name)}
-		rated := Rated{Candidate: candidate, Name: backend.Name}
+		rated := ScoredCandidate{Candidate: candidate, Name: backend.Name}
 		if rated.DroppedBy = p.filter(q, candidate); rated.DroppedBy != "" {
 			dropped = append(dropped, rated)
 			continue
 		}
 		first := len(parts)
 		for _, scorer := range p.Scorers {
-			part := Part{Scorer: scorer.Name(), Score: scorer.Score(q, candidate)}
+			part := ScorerScore{Scorer: scorer.Name(), Score: scorer.Score(q, candidate)}
 			rated.Total += part.Score * scorer.Weight
 			parts = append(parts, part)
 		}
@@ -119,8 +119,8 @@
 	kept := len(decision.Rated)
 	decision.Rated = append(decision.Rated, dropped...)
 	if kept > 0 {
-		decision.Chosen = &decision.Rated[p.Picker.Pick(q, decision.Rated[:kept])]
-		decision.Pick = decision.Chosen.Name
+		decision.Selected = &decision.Rated[p.Picker.Pick(q, decision.Rated[:kept])]
+		decision.Pick = decision.Selected.Name
 	}
 	return decision
 }
--- a/route/filter_leaving.go
+++ b/route/filter_leaving.go
@@ -1,14 +1,14 @@
 package route
 
-// LeavingFilter drops servers that the operator drains or that report their own drain
+// DrainingFilter drops servers that the operator drains or that report their own drain
 // in the list of servers, in a report or in an answer, whichever arrives first.
-type LeavingFilter struct{}
+type DrainingFilter struct{}
 
 // Name implements Filter.
-func (LeavingFilter) Name() string { return "leaving" }
+func (DrainingFilter) Name() string { return "leaving" }
 
 // Keep implements Filter.
-func (LeavingFilter) Keep(_ *Query, c Candidate) bool {
+func (DrainingFilter) Keep(_ *Query, c Candidate) bool {
 	if c.Backend.Drain || c.Server.Pressure.IsLeaving() {
 		return false
 	}
--- a/route/filter_limit.go
+++ b/route/filter_limit.go
@@ -13,5 +13,5 @@
 
 // Keep implements Filter.
 func (LimitFilter) Keep(q *Query, c Candidate) bool {
-	return c.Server.Pressure.Look(q.Work, q.Now) != backpressure.OverLimit
+	return c.Server.Pressure.Check(q.Work, q.Now) != backpressure.OverLimit
 }
--- a/route/filter_rest.go
+++ b/route/filter_rest.go
@@ -1,16 +1,16 @@
 package route
 
-// RestFilter drops servers in backoff: they turned away a request of this instance
+// BackoffFilter drops servers in backoff: they turned away a request of this instance
 // with Retry-After, and that time has not passed.
-type RestFilter struct{}
+type BackoffFilter struct{}
 
-// backoffFilterName is the name of RestFilter.
+// backoffFilterName is the name of BackoffFilter.
 const backoffFilterName = "resting"
 
 // Name implements Filter.
-func (RestFilter) Name() string { return backoffFilterName }
+func (BackoffFilter) Name() string { return backoffFilterName }
 
 // Keep implements Filter.
-func (RestFilter) Keep(q *Query, c Candidate) bool {
-	return !c.Server.Pressure.WantsNothing(q.Now)
+func (BackoffFilter) Keep(q *Query, c Candidate) bool {
+	return !c.Server.Pressure.BlockedByBackoff(q.Now)
 }
--- a/route/filter_room_test.go
+++ b/route/filter_room_test.go
@@ -11,8 +11,8 @@
 		backend.MemoryTokens = 1000
 	}
 	fleet.Server("a").SetOthers(Commitment{Memory: 600})
-	fleet.Server("b").Hold(500)
-	fleet.Server("c").Hold(401)
+	fleet.Server("b").AddMemory(500)
+	fleet.Server("c").AddMemory(401)
 	pick := func(tokens int, spare float64) string {
 		query := &Query{RequestID: "r", Now: time.Now(), MemoryTokens: tokens, Spare: spare}
 		return ForwardDecode().Decide(query, fleet, pool).Pick
@@ -37,7 +37,7 @@
 	fleet, pool := candidatesOf(&Server{Name: "a"}, &Server{Name: "b"}, &Server{Name: "c"}, &Server{Name: "d"})
 	for i, backend := range pool {
 		backend.MemoryTokens = 1000
-		fleet.Server(backend.Name).Hold(10 * i)
+		fleet.Server(backend.Name).AddMemory(10 * i)
 	}
 	selected := make(map[string]int)
 	for i := range 400 {
--- a/route/forwarding.go
+++ b/route/forwarding.go
@@ -10,7 +10,7 @@
 // 60 ms (source: the users' sheets).
 const maxNormalSilence = 500 * time.Millisecond
 
-var forwardingFilters = append([]Filter{SilentFilter{Limit: maxNormalSilence}, RestFilter{}, LimitFilter{}, RefusingFilter{}}, commonFilters...)
+var forwardingFilters = append([]Filter{SilentFilter{Limit: maxNormalSilence}, BackoffFilter{}, LimitFilter{}, RefusingFilter{}}, commonFilters...)
 
 // ForwardPrefill returns the profile that selects prefill engines. The zone decides
 // only between engines that finish about equally soon: with more weight, one engine's
@@ -20,7 +20,7 @@
 func ForwardPrefill() *Profile {
 	return &Profile{
 		Filters: forwardingFilters,
-		Scorers: []Weighted{{WaitScorer{}, weightWait}, {ZoneScorer{}, weightTieBreak}},
+		Scorers: []WeightedScorer{{WaitScorer{}, weightWait}, {ZoneScorer{}, weightTieBreak}},
 		Picker:  TwoChoicesPicker{},
 	}
 }
@@ -33,7 +33,7 @@
 func ForwardDecode() *Profile {
 	return &Profile{
 		Filters: append([]Filter{RoomFilter{}}, forwardingFilters...),
-		Scorers: []Weighted{{FreeScorer{}, weightRoom}, {ZoneScorer{}, weightZone}},
+		Scorers: []WeightedScorer{{FreeScorer{}, weightRoom}, {ZoneScorer{}, weightZone}},
 		Picker:  TwoChoicesPicker{},
 	}
 }
@@ -56,7 +56,7 @@
 func ForwardPlain() *Profile {
 	return &Profile{
 		Filters: forwardingFilters,
-		Scorers: []Weighted{{IdleScorer{}, weightIdle}, {ZoneScorer{}, weightTieBreak}},
+		Scorers: []WeightedScorer{{IdleScorer{}, weightIdle}, {ZoneScorer{}, weightTieBreak}},
 		Picker:  TwoChoicesPicker{},
 	}
 }
--- a/route/forwarding_test.go
+++ b/route/forwarding_test.go
@@ -59,11 +59,11 @@
 func TestSmallerAllowanceReducesCredit(t *testing.T) {
 	now := time.Unix(0, 0)
 	budget := NewSharedBudget(0.2, time.Second, 40, now)
-	budget.SetPart(4, now)
+	budget.SetAllowance(4, now)
 	if left := budget.Left(now); left != 2 {
 		t.Fatalf("%v retries left", left)
 	}
-	budget.SetPart(40, now)
+	budget.SetAllowance(40, now)
 	if left := budget.Left(now); left != 2 {
 		t.Fatalf("a larger allowance was granted at once: %v retries left", left)
 	}
@@ -75,12 +75,12 @@
 	if server.SilentFor(now.Add(time.Hour)) != 0 {
 		t.Fatal("silent although no request waits")
 	}
-	done := server.Await(now)
-	second := server.Await(now.Add(time.Second))
+	done := server.AwaitAnswer(now)
+	second := server.AwaitAnswer(now.Add(time.Second))
 	if got := server.SilentFor(now.Add(2 * time.Second)); got != 2*time.Second {
 		t.Fatalf("silent for %v", got)
 	}
-	server.Heard(now.Add(2 * time.Second))
+	server.RecordContact(now.Add(2 * time.Second))
 	done()
 	if got := server.SilentFor(now.Add(3 * time.Second)); got != time.Second {
 		t.Fatalf("silent for %v", got)
@@ -107,9 +107,9 @@
 func TestForwardingAvoidsUnfitServers(t *testing.T) {
 	now := time.Now()
 	for name, makeUnfit := range map[string]func(*Server){
-		"silent":   func(s *Server) { s.Await(now.Add(-time.Second)) },
+		"silent":   func(s *Server) { s.AwaitAnswer(now.Add(-time.Second)) },
 		"refusing": func(s *Server) { s.Refused(now) },
-		"changing": func(s *Server) { s.Changing(now.Add(time.Second)) },
+		"changing": func(s *Server) { s.SetRoleChangeUntil(now.Add(time.Second)) },
 		"broken": func(s *Server) {
 			for range breakerThreshold {
 				s.Breaker.Failure(now)
@@ -123,8 +123,8 @@
 				query := &Query{RequestID: fmt.Sprint(i), Now: now}
 				for _, profile := range []*Profile{ForwardPlain(), ForwardPrefill(), ForwardDecode()} {
 					decision := profile.Decide(query, fleet, pool)
-					if decision.Chosen == nil || decision.Chosen.Name != "fit" {
-						t.Fatalf("selected %+v", decision.Chosen)
+					if decision.Selected == nil || decision.Selected.Name != "fit" {
+						t.Fatalf("selected %+v", decision.Selected)
 					}
 				}
 			}
@@ -158,12 +158,12 @@
 func TestMemoryCommittedBySiblingsCounts(t *testing.T) {
 	fleet, pool := candidatesOf(&Server{Name: "a"}, &Server{Name: "b"})
 	fleet.Server("a").SetOthers(Commitment{Memory: 800})
-	fleet.Server("b").Hold(300)
+	fleet.Server("b").AddMemory(300)
 	query := &Query{Now: time.Now()}
 	if got := ForwardDecode().Decide(query, fleet, pool).Pick; got != "b" {
 		t.Fatalf("selected %s", got)
 	}
-	fleet.Server("b").Hold(-300)
+	fleet.Server("b").AddMemory(-300)
 	if got := fleet.Server("b").Own(); got != (Commitment{}) {
 		t.Fatalf("commitment left after release: %+v", got)
 	}
@@ -180,7 +180,7 @@
 	if keeps(misdirectedBackoff-time.Millisecond) || !keeps(misdirectedBackoff) {
 		t.Fatal("wrong backoff after a misdirected request")
 	}
-	server.Changing(now.Add(2 * misdirectedBackoff))
+	server.SetRoleChangeUntil(now.Add(2 * misdirectedBackoff))
 	server.Misdirected(now)
 	if keeps(misdirectedBackoff) {
 		t.Fatal("a longer change of role was cut short")
--- a/route/headroom.go
+++ b/route/headroom.go
@@ -19,7 +19,7 @@
 )
 
 // Headroom returns how many pieces must stay free when a request is promised memory.
-// overShare is Place.OverShare. below is how many steps the request's priority is
+// overShare is AdmissionSlot.ShareRatio. below is how many steps the request's priority is
 // below the highest.
 func Headroom(overShare float64, below int) int {
 	pieces := piecesPerPriorityStep * below
--- a/route/heldback.go
+++ b/route/heldback.go
@@ -6,11 +6,11 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// HeldBack returns why a selection found no server, if the only cause is that healthy
+// BackpressureRefusal returns why a selection found no server, if the only cause is that healthy
 // servers do not accept the work now by their reported limits or backoffs. It returns
 // the reason of the server that will accept the work first and the time until then,
 // or reason.None if there is another cause.
-func HeldBack(q *Query, rated []Rated) (refusal reason.Reason, wait time.Duration) {
+func BackpressureRefusal(q *Query, rated []ScoredCandidate) (refusal reason.Reason, wait time.Duration) {
 	for _, candidate := range rated {
 		filterReason := reasonByFilter[candidate.DroppedBy]
 		if candidate.DroppedBy == roomFilterName {
@@ -21,7 +21,7 @@
 		if filterReason == reason.None {
 			continue
 		}
-		if roomIn := candidate.Server.Pressure.RoomIn(q.Work, q.Now); refusal == reason.None || roomIn < wait {
+		if roomIn := candidate.Server.Pressure.Delay(q.Work, q.Now); refusal == reason.None || roomIn < wait {
 			refusal, wait = filterReason, roomIn
 		}
 	}
--- a/route/lengths.go
+++ b/route/lengths.go
@@ -33,8 +33,8 @@
 	minGuessWeight = 0.3
 )
 
-// Guessed records a guess and returns how many tokens to expect, at the median.
-func (l *Lengths) Guessed(tokens int) int {
+// ExpectedTokens records a guess and returns how many tokens to expect, at the median.
+func (l *Lengths) ExpectedTokens(tokens int) int {
 	guess := math.Log(float64(max(tokens, 1)))
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/route/lengths_test.go
+++ b/route/lengths_test.go
@@ -9,7 +9,7 @@
 func TestFewGuessesStayUnchanged(t *testing.T) {
 	var lengths Lengths
 	for _, guess := range []int{10, 5000, 1, 900} {
-		if got := lengths.Guessed(guess); got != guess {
+		if got := lengths.ExpectedTokens(guess); got != guess {
 			t.Errorf("%d became %d", guess, got)
 		}
 	}
@@ -18,7 +18,7 @@
 func TestEqualGuessesStayUnchanged(t *testing.T) {
 	var lengths Lengths
 	for range 3 * minGuesses {
-		if got := lengths.Guessed(700); got < 699 || got > 700 {
+		if got := lengths.ExpectedTokens(700); got < 699 || got > 700 {
 			t.Fatalf("700 became %d", got)
 		}
 	}
@@ -33,7 +33,7 @@
 	for range 5000 {
 		length := math.Exp(8 + 0.6*random.NormFloat64())
 		guess := length * math.Exp(guessError*random.NormFloat64())
-		expected := lengths.Guessed(int(guess))
+		expected := lengths.ExpectedTokens(int(guess))
 		guessOff += math.Pow(math.Log(guess/length), 2)
 		expectedOff += math.Pow(math.Log(float64(expected)/length), 2)
 	}
@@ -47,7 +47,7 @@
 func TestZeroGuessesAreHarmless(t *testing.T) {
 	var lengths Lengths
 	for i := range 100 {
-		if got := lengths.Guessed(i % 2 * 1000); got < 0 {
+		if got := lengths.ExpectedTokens(i % 2 * 1000); got < 0 {
 			t.Fatalf("expected %d", got)
 		}
 	}
--- a/route/pauses.go
+++ b/route/pauses.go
@@ -41,8 +41,8 @@
 	p.bits.Store(math.Float64bits(estimate))
 }
 
-// Most returns the duration that 95 in 100 pauses do not exceed. known is false until
+// P95 returns the duration that 95 in 100 pauses do not exceed. known is false until
 // enough pauses were observed.
-func (p *Pauses) Most() (pause time.Duration, known bool) {
+func (p *Pauses) P95() (pause time.Duration, known bool) {
 	return time.Duration(math.Float64frombits(p.bits.Load())), p.count.Load() >= minPauses
 }
--- a/route/pauses_test.go
+++ b/route/pauses_test.go
@@ -11,7 +11,7 @@
 	for range minPauses - 1 {
 		pauses.Observe(time.Second)
 	}
-	if _, known := pauses.Most(); known {
+	if _, known := pauses.P95(); known {
 		t.Error("the estimate is known too early")
 	}
 }
@@ -24,7 +24,7 @@
 		for range 2000 {
 			pauses.Observe(pause())
 		}
-		most, known := pauses.Most()
+		most, known := pauses.P95()
 		if below := float64(most)/float64(scale) - 1; !known || below < 0.85 || below > 1.1 {
 			t.Errorf("the estimate is %v for pauses between %v and %v", most, scale, 2*scale)
 		}
@@ -39,7 +39,7 @@
 	for range 60 {
 		pauses.Observe(200 * time.Millisecond)
 	}
-	if most, _ := pauses.Most(); most < 180*time.Millisecond || most > 230*time.Millisecond {
+	if most, _ := pauses.P95(); most < 180*time.Millisecond || most > 230*time.Millisecond {
 		t.Errorf("the estimate is %v", most)
 	}
 }
--- a/route/picker.go
+++ b/route/picker.go
@@ -15,7 +15,7 @@
 func (BestPicker) Name() string { return "best" }
 
 // Pick implements Picker.
-func (BestPicker) Pick(q *Query, rated []Rated) int {
+func (BestPicker) Pick(q *Query, rated []ScoredCandidate) int {
 	best := rated[0].Total
 	for _, r := range rated[1:] {
 		best = max(best, r.Total)
--- a/route/picker_baseline.go
+++ b/route/picker_baseline.go
@@ -11,7 +11,7 @@
 func (RandomPicker) Name() string { return "random" }
 
 // Pick implements Picker.
-func (RandomPicker) Pick(q *Query, rated []Rated) int {
+func (RandomPicker) Pick(q *Query, rated []ScoredCandidate) int {
 	return int(pairHash(q.RequestID, rated[0].Name) % uint64(len(rated)))
 }
 
@@ -22,7 +22,7 @@
 func (*RoundRobinPicker) Name() string { return "round_robin" }
 
 // Pick implements Picker.
-func (p *RoundRobinPicker) Pick(_ *Query, rated []Rated) int {
+func (p *RoundRobinPicker) Pick(_ *Query, rated []ScoredCandidate) int {
 	return int(p.next.Add(1) % uint64(len(rated)))
 }
 
@@ -34,7 +34,7 @@
 func (TwoChoicesPicker) Name() string { return "two_choices" }
 
 // Pick implements Picker.
-func (TwoChoicesPicker) Pick(q *Query, rated []Rated) int {
+func (TwoChoicesPicker) Pick(q *Query, rated []ScoredCandidate) int {
 	hash := pairHash(q.RequestID, rated[0].Name)
 	one := int(hash % uint64(len(rated)))
 	if len(rated) == 1 {
--- a/route/picker_test.go
+++ b/route/picker_test.go
@@ -7,9 +7,9 @@
 
 func TestTwoChoicesSelectsBetterOfTwo(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 20} {
-		rated := make([]Rated, n)
+		rated := make([]ScoredCandidate, n)
 		for i := range rated {
-			rated[i] = Rated{Name: fmt.Sprint(i), Total: float64(i)}
+			rated[i] = ScoredCandidate{Name: fmt.Sprint(i), Total: float64(i)}
 		}
 		selected := make(map[int]int)
 		for i := range 2000 {
--- a/route/policy.go
+++ b/route/policy.go
@@ -21,20 +21,20 @@
 // Baselines returns the policies that mastwheel is compared with. Each selects
 // servers alone by lagging reports, sends at once and retries after a refusal.
 func Baselines() []Policy {
-	baseline := func(name string, picker func() Picker, scorers ...Weighted) Policy {
+	baseline := func(name string, picker func() Picker, scorers ...WeightedScorer) Policy {
 		profile := func() *Profile {
 			return &Profile{Filters: commonFilters, Scorers: scorers, Picker: picker()}
 		}
 		return Policy{Name: name, Prefill: profile(), Decode: profile()}
 	}
 	best := func() Picker { return BestPicker{} }
-	affinity := baseline("prefix affinity", best, Weighted{PrefixScorer{}, 1})
+	affinity := baseline("prefix affinity", best, WeightedScorer{PrefixScorer{}, 1})
 	affinity.Decode = &Profile{Filters: commonFilters, Picker: RandomPicker{}}
 	return []Policy{
 		baseline("random", func() Picker { return RandomPicker{} }),
 		baseline("round robin", func() Picker { return &RoundRobinPicker{} }),
-		baseline("least loaded", best, Weighted{ReportedScorer{}, 1}),
-		baseline("two choices", func() Picker { return TwoChoicesPicker{} }, Weighted{ReportedScorer{}, 1}),
+		baseline("least loaded", best, WeightedScorer{ReportedScorer{}, 1}),
+		baseline("two choices", func() Picker { return TwoChoicesPicker{} }, WeightedScorer{ReportedScorer{}, 1}),
 		affinity,
 	}
 }
--- a/route/profiles.go
+++ b/route/profiles.go
@@ -13,13 +13,13 @@
 	weightIdle   = 1.0
 )
 
-var commonFilters = []Filter{ExcludedFilter{}, LeavingFilter{}, BreakerFilter{}}
+var commonFilters = []Filter{ExcludedFilter{}, DrainingFilter{}, BreakerFilter{}}
 
 // PrefillProfile returns the profile that selects prefill engines.
 func PrefillProfile() *Profile {
 	return &Profile{
 		Filters: commonFilters,
-		Scorers: []Weighted{{WaitScorer{}, weightWait}, {PrefixScorer{}, weightPrefix}, {ZoneScorer{}, weightZone}},
+		Scorers: []WeightedScorer{{WaitScorer{}, weightWait}, {PrefixScorer{}, weightPrefix}, {ZoneScorer{}, weightZone}},
 		Picker:  BestPicker{},
 	}
 }
@@ -29,7 +29,7 @@
 	filters := append([]Filter{MemoryFilter{}}, commonFilters...)
 	return &Profile{
 		Filters: filters,
-		Scorers: []Weighted{{RoomScorer{}, weightRoom}, {ZoneScorer{}, weightZone}},
+		Scorers: []WeightedScorer{{RoomScorer{}, weightRoom}, {ZoneScorer{}, weightZone}},
 		Picker:  BestPicker{},
 	}
 }
@@ -38,7 +38,7 @@
 func PlainProfile() *Profile {
 	return &Profile{
 		Filters: commonFilters,
-		Scorers: []Weighted{{IdleScorer{}, weightIdle}, {ZoneScorer{}, weightZone}},
+		Scorers: []WeightedScorer{{IdleScorer{}, weightIdle}, {ZoneScorer{}, weightZone}},
 		Picker:  BestPicker{},
 	}
 }
--- a/route/refusal.go
+++ b/route/refusal.go
@@ -80,12 +80,12 @@
 func (s *Server) Misdirected(now time.Time) {
 	until := now.Add(misdirectedBackoff)
 	if !s.IsChanging(until) {
-		s.Changing(until)
+		s.SetRoleChangeUntil(until)
 	}
 }
 
-// Changing records that the server changes its role and accepts no work before until.
-func (s *Server) Changing(until time.Time) { s.changeEnd.Store(int64(until.Sub(epoch))) }
+// SetRoleChangeUntil records that the server changes its role and accepts no work before until.
+func (s *Server) SetRoleChangeUntil(until time.Time) { s.changeEnd.Store(int64(until.Sub(epoch))) }
 
 // IsChanging reports whether the server is changing its role.
 func (s *Server) IsChanging(now time.Time) bool { return int64(now.Sub(epoch)) < s.changeEnd.Load() }
