--- a/route/server.go
+++ b/route/server.go
@@ -112,9 +112,9 @@
 	return Commitment{}
 }
 
-// Hold records that this instance's requests need that many more tokens of KV memory,
+// AddMemory records that this instance's requests need that many more tokens of KV memory,
 // or fewer if negative.
-func (s *Server) Hold(tokens int) {
+func (s *Server) AddMemory(tokens int) {
 	if tokens == 0 {
 		return
 	}
@@ -148,20 +148,20 @@
 // InFlight returns the number of this instance's own requests at the server.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// Begin records that this instance sent a request with that many unread prompt
+// RequestSent records that this instance sent a request with that many unread prompt
 // tokens. The returned function records its end.
-func (s *Server) Begin(tokens int) (end func()) {
+func (s *Server) RequestSent(tokens int) (end func()) {
 	s.inFlight.Add(1)
-	read := s.Unread(tokens)
+	read := s.AddUnread(tokens)
 	return func() {
 		s.inFlight.Add(-1)
 		read()
 	}
 }
 
-// Unread records that this instance sent that many prompt tokens that are not yet
+// AddUnread records that this instance sent that many prompt tokens that are not yet
 // read. The returned function records that they are.
-func (s *Server) Unread(tokens int) (read func()) {
+func (s *Server) AddUnread(tokens int) (read func()) {
 	if tokens == 0 {
 		return func() {}
 	}
@@ -235,10 +235,10 @@
 	return f
 }
 
-// OnCommitted sets a function that is called, on the request path, whenever this
+// OnCommitmentChange sets a function that is called, on the request path, whenever this
 // instance's memory or unread tokens at some server change. It must be set before
 // servers are adopted.
-func (f *Fleet) OnCommitted(notify func()) { f.onCommitted = notify }
+func (f *Fleet) OnCommitmentChange(notify func()) { f.onCommitted = notify }
 
 // Server returns the state of a backend server, or nil if the table has no such row.
 func (f *Fleet) Server(name string) *Server { return f.index.Load().byName[name] }
@@ -247,12 +247,12 @@
 // nil.
 func (f *Fleet) ServerByID(id uint32) *Server { return f.index.Load().byID[id] }
 
-// Forgive clears failures, silence and refusals of all servers. After this instance
+// ResetFailures clears failures, silence and refusals of all servers. After this instance
 // itself was suspended, they are caused by the suspension rather than by the servers.
-func (f *Fleet) Forgive(now time.Time) {
+func (f *Fleet) ResetFailures(now time.Time) {
 	for _, server := range f.index.Load().byName {
 		server.Breaker.Success()
-		server.Heard(now)
+		server.RecordContact(now)
 		server.Accepted()
 		server.Reached()
 	}
--- a/route/sharedbudget.go
+++ b/route/sharedbudget.go
@@ -26,10 +26,10 @@
 	return &SharedBudget{ratio: ratio, window: window, allowance: allowance, credit: allowance / 2, filledAt: now}
 }
 
-// SetPart changes the instance's share of the allowance when instances come and go.
+// SetAllowance changes the instance's share of the allowance when instances come and go.
 // Credit beyond a smaller share is lost. A larger share is filled over time, since
 // another instance may have spent it in the same window.
-func (b *SharedBudget) SetPart(allowance float64, now time.Time) {
+func (b *SharedBudget) SetAllowance(allowance float64, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
--- a/route/silence.go
+++ b/route/silence.go
@@ -18,17 +18,17 @@
 // epoch is the origin of a monotonic clock that fits into an atomic.
 var epoch = time.Now()
 
-// Await records that an answer is awaited from now on. The returned function records
+// AwaitAnswer records that an answer is awaited from now on. The returned function records
 // that it no longer is.
-func (s *Server) Await(now time.Time) (end func()) {
+func (s *Server) AwaitAnswer(now time.Time) (end func()) {
 	if s.silence.waiting.Add(1) == 1 {
 		s.silence.since.Store(int64(now.Sub(epoch)))
 	}
 	return func() { s.silence.waiting.Add(-1) }
 }
 
-// Heard records that something was received from the server.
-func (s *Server) Heard(now time.Time) { s.silence.since.Store(int64(now.Sub(epoch))) }
+// RecordContact records that something was received from the server.
+func (s *Server) RecordContact(now time.Time) { s.silence.since.Store(int64(now.Sub(epoch))) }
 
 // SilentFor returns how long the server has sent nothing while requests wait; 0 if
 // none waits.
--- a/route/sizes.go
+++ b/route/sizes.go
@@ -35,9 +35,9 @@
 	spareDeviations = 1.645
 )
 
-// Asked records a request that needs so much memory and is expected to generate so
+// RecordStart records a request that needs so much memory and is expected to generate so
 // many tokens.
-func (s *Sizes) Asked(need, expected int) {
+func (s *Sizes) RecordStart(need, expected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.started = min(s.started+1, sizesWindow)
@@ -45,8 +45,8 @@
 	s.expected += (float64(expected) - s.expected) / s.started
 }
 
-// Ended records a request that ended by itself.
-func (s *Sizes) Ended(expected, generated int) {
+// RecordEnd records a request that ended by itself.
+func (s *Sizes) RecordEnd(expected, generated int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = min(s.ended+1, sizesWindow)
--- a/route/sizes_test.go
+++ b/route/sizes_test.go
@@ -11,8 +11,8 @@
 	spareAfter := func(prompt, generated int) float64 {
 		var sizes Sizes
 		for range 400 {
-			sizes.Asked(prompt+generated/2, generated)
-			sizes.Ended(generated, int(float64(generated)*math.Exp(0.4*random.NormFloat64())))
+			sizes.RecordStart(prompt+generated/2, generated)
+			sizes.RecordEnd(generated, int(float64(generated)*math.Exp(0.4*random.NormFloat64())))
 		}
 		return sizes.Spare(40_000)
 	}
@@ -27,7 +27,7 @@
 	if got := sizes.Spare(40_000); got != 0 {
 		t.Errorf("%.3f stays free before any request", got)
 	}
-	sizes.Asked(4000, 1000)
+	sizes.RecordStart(4000, 1000)
 	// 1.645 standard deviations of 500 tokens for each of ten requests.
 	if got, want := sizes.Spare(40_000), 1.645*500*math.Sqrt(10)/40_000; math.Abs(got-want) > 1e-9 {
 		t.Errorf("%.4f stays free, want %.4f", got, want)
@@ -37,11 +37,11 @@
 func TestOldSizesAreForgotten(t *testing.T) {
 	var sizes Sizes
 	for range 10 * sizesWindow {
-		sizes.Asked(1000, 100)
-		sizes.Ended(100, 100)
+		sizes.RecordStart(1000, 100)
+		sizes.RecordEnd(100, 100)
 	}
 	for range 5 * sizesWindow {
-		sizes.Asked(5000, 100)
+		sizes.RecordStart(5000, 100)
 	}
 	if need := sizes.Need(); need < 4900 {
 		t.Errorf("the mean need is %.0f tokens", need)
--- a/route/steward.go
+++ b/route/steward.go
@@ -7,30 +7,30 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// HoldKey identifies the reservation of one attempt of a request.
-type HoldKey struct {
+// ReservationKey identifies the reservation of one attempt of a request.
+type ReservationKey struct {
 	RequestID string `json:"request_id"`
 	Attempt   int    `json:"attempt"`
 }
 
-// Ask requests a reservation at a worker: for decode memory, or for a turn in a
+// Demand requests a reservation at a worker: for decode memory, or for a turn in a
 // prefill engine's queue.
-type Ask struct {
-	HoldKey
+type Demand struct {
+	ReservationKey
 	// Pieces is the memory requested from a decode engine; 0 for a prefill engine.
 	Pieces int
-	// LandIn is the time until the KV cache is expected to arrive. HoldFor is how
+	// ArrivesIn is the time until the KV cache is expected to arrive. HoldFor is how
 	// long the memory is then expected to be held.
-	LandIn  time.Duration
-	HoldFor time.Duration
+	ArrivesIn time.Duration
+	HoldFor   time.Duration
 	// Headroom is the memory, in pieces, that must stay free. Requests that should
 	// yield to others set more of it.
 	Headroom int
 	// Tokens is the number of tokens that a prefill engine is to read; 0 for a decode
 	// engine.
 	Tokens int
-	// MostAhead is the maximum number of tokens ahead in the prefill engine's queue.
-	MostAhead int
+	// MaxTokensAhead is the maximum number of tokens ahead in the prefill engine's queue.
+	MaxTokensAhead int
 	// TTL is how long the reservation lasts unless it is renewed or the KV cache
 	// arrives.
 	TTL time.Duration
@@ -52,7 +52,7 @@
 	Pieces  int
 	// WaitingTokens counts prompt tokens that the engine has not read.
 	WaitingTokens int
-	Held          map[HoldKey]int
+	Held          map[ReservationKey]int
 }
 
 // Steward grants reservations at the workers that one instance is responsible for.
@@ -77,7 +77,7 @@
 
 type workerLedger struct {
 	report EngineReport
-	holds  map[HoldKey]hold
+	holds  map[ReservationKey]hold
 }
 
 // NewSteward returns a steward with no workers.
@@ -99,29 +99,29 @@
 }
 
 // Reserve grants a reservation to an attempt, or renews the one that it already has.
-func (s *Steward) Reserve(worker string, ask Ask, now time.Time) Grant {
+func (s *Steward) Reserve(worker string, ask Demand, now time.Time) Grant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ledger := s.ledger(worker)
 	if ledger.report.Pieces == 0 {
 		return Grant{Refused: reason.StewardUnreached}
 	}
-	if h, ok := ledger.holds[ask.HoldKey]; ok && h.released.IsZero() {
+	if h, ok := ledger.holds[ask.ReservationKey]; ok && h.released.IsZero() {
 		h.expires = now.Add(ask.TTL)
-		ledger.holds[ask.HoldKey] = h
+		ledger.holds[ask.ReservationKey] = h
 		return Grant{Free: ledger.free(now), Ahead: ledger.ahead(now) - h.tokens}
 	}
-	arrival := now.Add(ask.LandIn)
+	arrival := now.Add(ask.ArrivesIn)
 	grant := Grant{Free: ledger.free(arrival), Ahead: ledger.ahead(now)}
 	if grant.Free < ask.Pieces+ask.Headroom {
 		grant.Refused = reason.ReserveRefused
 		return grant
 	}
-	if ask.Tokens > 0 && grant.Ahead > ask.MostAhead {
+	if ask.Tokens > 0 && grant.Ahead > ask.MaxTokensAhead {
 		grant.Refused = reason.DeadlineTooClose
 		return grant
 	}
-	ledger.holds[ask.HoldKey] = hold{
+	ledger.holds[ask.ReservationKey] = hold{
 		pieces: ask.Pieces, tokens: ask.Tokens, expires: now.Add(ask.TTL), freeAt: arrival.Add(ask.HoldFor),
 	}
 	grant.Free -= ask.Pieces
@@ -130,7 +130,7 @@
 
 // Release releases the reservation of an attempt, whether its KV cache has arrived or
 // not.
-func (s *Steward) Release(worker string, key HoldKey, now time.Time) {
+func (s *Steward) Release(worker string, key ReservationKey, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ledger := s.ledger(worker)
@@ -160,7 +160,7 @@
 func (s *Steward) ledger(worker string) *workerLedger {
 	ledger, ok := s.workers[worker]
 	if !ok {
-		ledger = &workerLedger{holds: make(map[HoldKey]hold)}
+		ledger = &workerLedger{holds: make(map[ReservationKey]hold)}
 		s.workers[worker] = ledger
 	}
 	return ledger
--- a/route/yield.go
+++ b/route/yield.go
@@ -9,9 +9,9 @@
 // much, against 0.642 without this rule. Of all streams the fractions are 0.679 and
 // 0.651 (see the tests of teams in package forward).
 
-// Yield returns the factor by which a request multiplies its headroom. used is the
+// TeamFactor returns the factor by which a request multiplies its headroom. used is the
 // fraction of its team's allotment that is used up, from 0 to 1. weight is the most
 // that this adds to the factor.
-func Yield(used, weight float64) float64 {
+func TeamFactor(used, weight float64) float64 {
 	return 1 + weight*min(max(used, 0), 1)
 }
--- a/route/yield_test.go
+++ b/route/yield_test.go
@@ -8,7 +8,7 @@
 		{1, 0, 1},             // switched off
 		{-3, 1, 1}, {7, 1, 2}, // a debt, and more than the whole allotment
 	} {
-		if got := Yield(c.used, c.weight); got != c.want {
+		if got := TeamFactor(c.used, c.weight); got != c.want {
 			t.Errorf("used %v, weight %v: %v, not %v", c.used, c.weight, got, c.want)
 		}
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -176,7 +176,7 @@
 		e.report = engine.Load{
 			Running: len(e.held) + len(e.results), WaitingTokens: e.waiting,
 			Pieces: e.config.Pieces, FreePieces: e.freeLocked(),
-			Leaving: e.Faults.Leaving.Load(), Held: e.heldLocked(), Weights: e.weights, Loading: e.loading,
+			Draining: e.Faults.Leaving.Load(), Held: e.heldLocked(), Weights: e.weights, Loading: e.loading,
 		}
 	}
 	return e.report
--- a/standin/instant.go
+++ b/standin/instant.go
@@ -48,16 +48,16 @@
 }
 
 // Reserve implements request.Stewards.
-func (Instant) Reserve(context.Context, string, route.Ask) route.Grant { return route.Grant{} }
+func (Instant) Reserve(context.Context, string, route.Demand) route.Grant { return route.Grant{} }
 
 // Release implements request.Stewards.
-func (Instant) Release(string, route.HoldKey) {}
+func (Instant) Release(string, route.ReservationKey) {}
 
 // Intent implements request.Witnesses.
 func (Instant) Intent(context.Context, operation.ID) reason.Reason { return reason.None }
 
-// Settle implements request.Witnesses.
-func (Instant) Settle(operation.ID, operation.Status) {}
+// ReportOutcome implements request.Witnesses.
+func (Instant) ReportOutcome(operation.ID, operation.Status) {}
 
 // Token implements request.Sink.
 func (Instant) Token(engine.Token) error { return nil }
--- a/trial/protections.go
+++ b/trial/protections.go
@@ -13,11 +13,11 @@
 // function that switches it off.
 var disableFuncs = map[string]func(*request.Protections){
 	"witness": func(p *request.Protections) { p.Witness = false },
-	"once":    func(p *request.Protections) { p.Once = false },
-	"match":   func(p *request.Protections) { p.Match = false },
+	"once":    func(p *request.Protections) { p.NoDuplicateCalls = false },
+	"match":   func(p *request.Protections) { p.MatchTokens = false },
 	"cancel":  func(p *request.Protections) { p.Cancel = false },
-	"orphans": func(p *request.Protections) { p.Orphans = false },
-	"leaving": func(p *request.Protections) { p.Leaving = false },
+	"orphans": func(p *request.Protections) { p.CancelOrphans = false },
+	"leaving": func(p *request.Protections) { p.AvoidDraining = false },
 	"drain":   func(p *request.Protections) { p.Drain = false },
 }
 
--- a/upstream/answer.go
+++ b/upstream/answer.go
@@ -69,17 +69,17 @@
 // Close ends the request. The connection is kept after a complete answer if
 // both sides allow it, and closed otherwise.
 func (a *Answer) Close() error {
-	if conn := a.Next(); conn != nil {
+	if conn := a.TakeConn(); conn != nil {
 		conn.release()
 	}
 	return nil
 }
 
-// Next ends the request as Close does, but returns the connection for another
+// TakeConn ends the request as Close does, but returns the connection for another
 // request of the same caller. A request sent on it reaches the run of the
 // server's process that gave this answer, or none. Next returns nil if the
 // connection was closed.
-func (a *Answer) Next() *Conn {
+func (a *Answer) TakeConn() *Conn {
 	if a.done {
 		return nil
 	}
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -54,11 +54,11 @@
 	Method string
 	// Bytes is the whole request, header and body.
 	Bytes []byte
-	// Mine reports whether an answer with this header belongs to this request.
+	// Matches reports whether an answer with this header belongs to this request.
 	// If nil, every answer does.
-	Mine func(http.Header) bool
-	// Heard, if set, is called whenever data of the server is received.
-	Heard func()
+	Matches func(http.Header) bool
+	// OnReceive, if set, is called whenever data of the server is received.
+	OnReceive func()
 }
 
 // pastDeadline is a deadline that ends a pending read or write at once.
@@ -77,7 +77,7 @@
 		c.Discard()
 		return nil, errors.WithMessage(ErrBroken, err.Error())
 	}
-	return &Answer{Response: response, conn: c, stop: stop, written: written, onReceive: message.Heard}, nil
+	return &Answer{Response: response, conn: c, stop: stop, written: written, onReceive: message.OnReceive}, nil
 }
 
 // maxSyncWrite is the size in bytes up to which a message is written before its
@@ -108,10 +108,10 @@
 		if err != nil {
 			return nil, err
 		}
-		if message.Heard != nil {
-			message.Heard()
+		if message.OnReceive != nil {
+			message.OnReceive()
 		}
-		if message.Mine == nil || message.Mine(response.Header) {
+		if message.Matches == nil || message.Matches(response.Header) {
 			return response, nil
 		}
 		if err := discardAnswer(response); err != nil {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -80,7 +80,7 @@
 func messageOf(id string) Message {
 	return Message{
 		Method: http.MethodGet, Bytes: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-		Mine: func(header http.Header) bool { return header.Get("Id") == id },
+		Matches: func(header http.Header) bool { return header.Get("Id") == id },
 	}
 }
 
