--- a/caller/plain.go
+++ b/caller/plain.go
@@ -26,7 +26,7 @@
 
 // plain forwards a call to a plain service.
 func (s *Server) plain(ctx *fasthttp.RequestCtx) {
-	leave := s.instance.Enter()
+	leave := s.instance.BeginRequest()
 	defer leave()
 	id, err := operationID(ctx)
 	if err != nil {
--- a/caller/server.go
+++ b/caller/server.go
@@ -161,7 +161,7 @@
 
 func (s *Server) entry(ctx *fasthttp.RequestCtx) {
 	arguments := ctx.QueryArgs()
-	entry, ok := s.instance.Entry(string(arguments.Peek("zone")), string(arguments.Peek("avoid")))
+	entry, ok := s.instance.SelectEntry(string(arguments.Peek("zone")), string(arguments.Peek("avoid")))
 	if !ok {
 		s.writeFailure(ctx, failure{status: fasthttp.StatusServiceUnavailable, why: reason.StaleTable, detail: "no instance is ready"})
 		return
@@ -177,7 +177,7 @@
 		s.writeFailure(ctx, failure{status: fasthttp.StatusBadRequest, why: reason.Malformed, detail: err.Error()})
 		return
 	}
-	status := s.instance.AskOperation(ctx, id)
+	status := s.instance.OperationStatus(ctx, id)
 	ctx.Response.Header.Set(HeaderOutcome, string(status.Outcome))
 	writeJSON(ctx, fasthttp.StatusOK, status)
 }
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -34,7 +34,7 @@
 }
 
 func (s *Server) completeWhole(ctx *fasthttp.RequestCtx, c completion) {
-	leave := s.instance.Enter()
+	leave := s.instance.BeginRequest()
 	defer leave()
 	callerCtx, release := callerContext(ctx)
 	defer release()
@@ -123,7 +123,7 @@
 }
 
 func (s *Server) completeStream(ctx *fasthttp.RequestCtx, c completion) {
-	leave := s.instance.Enter()
+	leave := s.instance.BeginRequest()
 	callerCtx, release := callerContext(ctx)
 	sink := &streamSink{
 		ctx:    callerCtx,
--- a/capacity/experiments.go
+++ b/capacity/experiments.go
@@ -102,7 +102,7 @@
 func membersOf(size int) *member.Members {
 	m := member.New(operation.Member{Name: "self", Incarnation: 1}, member.DefaultRegion())
 	for n := range size {
-		m.Heard(infoOf(n), time.Unix(1, 0))
+		m.ApplyHeartbeat(infoOf(n), time.Unix(1, 0))
 	}
 	return m
 }
@@ -112,7 +112,7 @@
 	info := infoOf(1)
 	return nanosPerCall(func() {
 		info.Uptime++
-		m.Heard(info, time.Unix(1, 0))
+		m.ApplyHeartbeat(info, time.Unix(1, 0))
 	})
 }
 
@@ -398,8 +398,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	query := &peer.Message{Reserve: &peer.Reserve{
-		Worker: "dossier-decode-0017", RequestID: "sabana-0001.mx682y80.1x9z", Pieces: 2, TTL: 3 * time.Second,
-		LandIn: 200 * time.Millisecond, HoldFor: 4 * time.Second,
+		Server: "dossier-decode-0017", RequestID: "sabana-0001.mx682y80.1x9z", Pieces: 2, TTL: 3 * time.Second,
+		ArrivesIn: 200 * time.Millisecond, HoldFor: 4 * time.Second,
 	}}
 	if _, err := p.sender.Call(ctx, p.receiver.Address(), query); err != nil {
 		panic("capacity: " + err.Error())
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -100,7 +100,7 @@
 // zone has as many cells as give the configured mean size.
 func (p Plan) Cells() float64 {
 	config := cell.DefaultConfig()
-	if p.Instances <= float64(config.Most) {
+	if p.Instances <= float64(config.MaxUndivided) {
 		return 1
 	}
 	return p.Zones * float64(config.Count(int(math.Ceil(p.Instances/p.Zones))))
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -11,18 +11,18 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// Whole is the name of the only cell of a region that isn't divided.
-const Whole = "region"
+// Undivided is the name of the only cell of a region that isn't divided.
+const Undivided = "region"
 
 // Config sets the size of cells.
 type Config struct {
-	// Most is the maximum number of instances of a region that is one cell.
+	// MaxUndivided is the maximum number of instances of a region that is one cell.
 	// With a larger value the same stewards serve more backend servers, but the
 	// heartbeat traffic grows with its square.
-	Most int
-	// Mean is the mean size of the cells of a larger region. Cells differ in
+	MaxUndivided int
+	// MeanSize is the mean size of the cells of a larger region. Cells differ in
 	// size, so it must be well below Most.
-	Mean int
+	MeanSize int
 	// Contacts is the number of instances in each other zone with which an
 	// instance stays in contact, for witnesses and for callers of those zones.
 	Contacts int
@@ -30,10 +30,10 @@
 
 // DefaultConfig returns sizes that keep heartbeats within 20 KB a second
 // (docs/CAPACITY.md).
-func DefaultConfig() Config { return Config{Most: 24, Mean: 16, Contacts: 2} }
+func DefaultConfig() Config { return Config{MaxUndivided: 24, MeanSize: 16, Contacts: 2} }
 
 // Count returns the number of cells of a zone with the given number of instances.
-func (c Config) Count(instances int) int { return max(1, (instances+c.Mean-1)/c.Mean) }
+func (c Config) Count(instances int) int { return max(1, (instances+c.MeanSize-1)/c.MeanSize) }
 
 // Of returns the cell of an instance or a backend server by its name, in a zone
 // with the given number of cells. When the number of cells changes by one, only
--- a/cmd/mastwheeld/main.go
+++ b/cmd/mastwheeld/main.go
@@ -111,7 +111,7 @@
 		Tokens:       operator.Tokens{Read: settings.Operator.ReadToken, Edit: settings.Operator.EditToken},
 		Callers:      callers,
 		Operators:    operators,
-		Strangers:    siblings.Strangers,
+		Strangers:    siblings.RejectedConnections,
 		DrainTimeout: daemon.DefaultDrainTimeout,
 	}, nil
 }
--- a/compare/compare.go
+++ b/compare/compare.go
@@ -208,7 +208,7 @@
 
 // runRequest runs one arrival to its end and counts its outcome.
 func (t *tally) runRequest(home *instance.Instance, c Case, arrival load.Arrival) {
-	leave := home.Enter()
+	leave := home.BeginRequest()
 	defer leave()
 	a := &answer{arrived: time.Now()}
 	result := home.Runner.RunModel(context.Background(), request.Model{
--- a/config/config.go
+++ b/config/config.go
@@ -92,8 +92,8 @@
 	config.Zone = s.Instance.Zone
 	config.Caller = orElse(s.Instance.Advertise, s.Instance.Listen)
 	config.Peer = orElse(s.Peer.Advertise, s.Peer.Listen)
-	overrideSeconds(&config.KeepAnswer, s.Limits.KeepSeconds)
-	overrideSeconds(&config.OperationLife, s.Limits.OperationSeconds)
+	overrideSeconds(&config.EntryTTL, s.Limits.KeepSeconds)
+	overrideSeconds(&config.OperationIDTTL, s.Limits.OperationSeconds)
 	overrideSeconds(&config.StaleAfter, s.Limits.StaleSeconds)
 	return config
 }
--- a/edge/backpressure.go
+++ b/edge/backpressure.go
@@ -67,7 +67,7 @@
 		case sibling.State == member.Alive && !sibling.Draining:
 			share.Active = append(share.Active, sibling.Name)
 		case sibling.State == member.Leaving:
-		case now.Sub(sibling.HeardAnywhere) < silentCountedFor:
+		case now.Sub(sibling.LastContactAnywhere) < silentCountedFor:
 			share.Silent++
 		default:
 			silent++
--- a/edge/beat.go
+++ b/edge/beat.go
@@ -75,9 +75,9 @@
 	switch {
 	case in.hubs.isHub():
 		quick = min(quick, in.config.HubBeatEvery)
-	case in.registry.View().Part && !in.Allotments.AnyLimited():
+	case in.registry.View().IsSubset && !in.Allotments.AnyLimited():
 		// Changes in the meantime matter to few instances. Urgent ones wake the loop.
-		quick = in.config.KeepEvery
+		quick = in.config.KeepAliveEvery
 	}
 	least := min(minBeatGap, quick)
 	timer := time.NewTimer(quick)
@@ -107,8 +107,8 @@
 // other's requests send theirs to the same engine, so the pause is short where there are few
 // siblings. It grows with their number because each datagram costs every sibling.
 func (in *Instance) minBeatPause() time.Duration {
-	pause := time.Duration(len(in.members.View().Siblings)) * in.config.QuickBeatPerSibling
-	return min(max(pause, in.config.QuickBeat), in.config.Members.HeartbeatEvery)
+	pause := time.Duration(len(in.members.View().Siblings)) * in.config.MinBeatPausePerSibling
+	return min(max(pause, in.config.MinBeatPause), in.config.Members.HeartbeatEvery)
 }
 
 // urgentMemoryChange is the change of the memory committed at an engine that is sent to siblings
@@ -136,7 +136,7 @@
 	// would make older data look as new as the update.
 	table, servers := in.tableFeed.age(now), in.list.age(now)
 	return heartbeat.Message{
-		From: in.info(), Changing: in.peers.ownUnderWay(now), TableHeard: table, ServersHeard: servers,
+		From: in.info(), Changing: in.peers.ownUnderWay(now), TableContactAge: table, ServersContactAge: servers,
 		Poison: in.Poison.Update(now), Pressure: in.Fleet.Backpressure.Update(now),
 		Evacuation: in.evacuation.Load(),
 	}
--- a/edge/catchup.go
+++ b/edge/catchup.go
@@ -21,12 +21,12 @@
 	// Name and Zone identify the requesting instance.
 	Name string `cbor:"3,keyasint,omitempty"`
 	Zone string `cbor:"4,keyasint,omitempty"`
-	// Uses is the subset of the servers that it uses. It is nil if none has been assigned.
-	Uses []subset.Share `cbor:"5,keyasint,omitempty"`
-	// Whole is set if it needs the full list, and Anew if it needs the list again though it has
+	// Shares is the subset of the servers that it uses. It is nil if none has been assigned.
+	Shares []subset.Share `cbor:"5,keyasint,omitempty"`
+	// NeedsFullList is set if it needs the full list, and Anew if it needs the list again though it has
 	// it up to Position.
-	Whole bool `cbor:"6,keyasint,omitempty"`
-	Anew  bool `cbor:"7,keyasint,omitempty"`
+	NeedsFullList bool `cbor:"6,keyasint,omitempty"`
+	Reread        bool `cbor:"7,keyasint,omitempty"`
 }
 
 // sameProgress reports whether both requests hold the same table and list positions.
@@ -40,9 +40,9 @@
 	Table []byte `cbor:"1,keyasint,omitempty"`
 	// Servers is the list of backend servers, if it is newer. Part is set if it contains only
 	// the subset of servers that the sibling uses according to Shares.
-	Servers *registry.Snapshot `cbor:"2,keyasint,omitempty"`
-	Part    bool               `cbor:"3,keyasint,omitempty"`
-	Shares  []subset.Share     `cbor:"4,keyasint,omitempty"`
+	Servers  *registry.Snapshot `cbor:"2,keyasint,omitempty"`
+	IsSubset bool               `cbor:"3,keyasint,omitempty"`
+	Shares   []subset.Share     `cbor:"4,keyasint,omitempty"`
 }
 
 // SnapshotFor returns the data that this instance has and the requesting one lacks.
@@ -52,7 +52,7 @@
 		snapshot.Table = revision.Raw
 	}
 	list := in.registry.View()
-	if !list.Part && (list.Position > have.Position || (have.Anew && list.Position == have.Position && list.Position > 0)) {
+	if !list.IsSubset && (list.Position > have.Position || (have.Reread && list.Position == have.Position && list.Position > 0)) {
 		table := snapshot.Table
 		snapshot = in.subsetSnapshot(have, list)
 		snapshot.Table = table
@@ -87,8 +87,8 @@
 // catchUpPause returns the pause between two checks. An instance whose hubs send it changes as
 // they occur checks only for lost ones.
 func (in *Instance) catchUpPause() time.Duration {
-	if in.registry.View().Part && !in.needsFullList() {
-		return in.config.KeepEvery
+	if in.registry.View().IsSubset && !in.needsFullList() {
+		return in.config.KeepAliveEvery
 	}
 	return in.config.CatchUpEvery
 }
@@ -107,7 +107,7 @@
 func (in *Instance) snapshotRequest() Have {
 	return Have{
 		Revision: in.tableFeed.progress(), Position: in.registry.View().Position,
-		Name: in.config.Name, Zone: in.config.Zone, Uses: in.uses.Load().Shares(), Whole: in.needsFullList(),
+		Name: in.config.Name, Zone: in.config.Zone, Shares: in.uses.Load().Shares(), NeedsFullList: in.needsFullList(),
 	}
 }
 
@@ -117,21 +117,21 @@
 func (in *Instance) rereadList(ctx context.Context, mine Have) bool {
 	list := in.registry.View()
 	hub := in.outgrown.Load()
-	due := list.Part && (mine.Whole || hub != nil)
+	due := list.IsSubset && (mine.NeedsFullList || hub != nil)
 	if !due {
 		return false
 	}
-	mine.Anew = true
-	if !mine.Whole {
-		mine.Uses = nil
+	mine.Reread = true
+	if !mine.NeedsFullList {
+		mine.Shares = nil
 		if sibling, known := in.members.Find(*hub); known {
 			in.outgrown.Store(nil)
 			in.trySnapshot(ctx, sibling, mine)
 		}
 		return true
 	}
-	for _, sibling := range in.ownZoneFirst(func(s *member.Sibling) bool { return !s.Part && oplog.Position(s.Next) >= list.Position }) {
-		if in.trySnapshot(ctx, *sibling, mine) && !in.registry.View().Part {
+	for _, sibling := range in.ownZoneFirst(func(s *member.Sibling) bool { return !s.UsesSubset && oplog.Position(s.Next) >= list.Position }) {
+		if in.trySnapshot(ctx, *sibling, mine) && !in.registry.View().IsSubset {
 			return true
 		}
 	}
@@ -176,7 +176,7 @@
 	table := in.tableFeed.overdue(now, in.config.CatchUpEvery)
 	list := in.list.overdue(now, in.config.CatchUpEvery)
 	for _, sibling := range in.members.View().Serving() {
-		newer := (table && sibling.Revision > mine.Revision) || (list && !sibling.Part && oplog.Position(sibling.Next) > mine.Position)
+		newer := (table && sibling.Revision > mine.Revision) || (list && !sibling.UsesSubset && oplog.Position(sibling.Next) > mine.Position)
 		if !newer {
 			continue
 		}
--- a/edge/config.go
+++ b/edge/config.go
@@ -61,10 +61,10 @@
 	CatchUpEvery time.Duration
 	// RosterEvery is the pause between two reads of the list of instances. Siblings name each
 	// other, so only instances that know no sibling depend on the list. They read it after
-	// RosterPatience, the time that siblings need to answer, and then every RosterAlone.
-	RosterEvery    time.Duration
-	RosterPatience time.Duration
-	RosterAlone    time.Duration
+	// RosterWait, the time that siblings need to answer, and then every RosterAlone.
+	RosterEvery time.Duration
+	RosterWait  time.Duration
+	RosterAlone time.Duration
 
 	// AnnounceWithin is the time over which instances put themselves on the list of instances
 	// again after the store has lost it, so that their calls are spread.
@@ -72,48 +72,48 @@
 
 	// Members configures the detection of failed siblings.
 	Members member.Config
-	// LongPause is how late a timer must fire for this instance to count as suspended and not
+	// SuspendedAfter is how late a timer must fire for this instance to count as suspended and not
 	// just busy.
-	LongPause time.Duration
+	SuspendedAfter time.Duration
 	// NearPerBeat and FarPerBeat are about how many siblings of the instance's own zone and of
 	// other zones get each heartbeat. Higher values spread loads and failures sooner. The traffic
 	// of an instance grows with these values, not with the number of siblings.
 	NearPerBeat int
 	FarPerBeat  int
-	// QuickBeat is the least pause between two heartbeats, and between two summations of the
+	// MinBeatPause is the least pause between two heartbeats, and between two summations of the
 	// siblings' loads. A shorter pause lets siblings know sooner of the requests that an engine
-	// got. QuickBeatPerSibling lengthens it for each sibling, up to the period of heartbeats.
-	QuickBeat           time.Duration
-	QuickBeatPerSibling time.Duration
+	// got. MinBeatPausePerSibling lengthens it for each sibling, up to the period of heartbeats.
+	MinBeatPause           time.Duration
+	MinBeatPausePerSibling time.Duration
 	// PeersNamed is how many other siblings each heartbeat names.
 	PeersNamed int
 
 	// Subset configures how many servers an instance uses where there are many.
 	Subset subset.Config
 	// ReviewEvery is the pause between two checks whether the instances' subsets still suit.
-	// WholeFor is how long a former hub keeps the full list, because reading it again takes a
+	// FullListKeptFor is how long a former hub keeps the full list, because reading it again takes a
 	// megabyte.
-	ReviewEvery time.Duration
-	WholeFor    time.Duration
+	ReviewEvery     time.Duration
+	FullListKeptFor time.Duration
 	// MeshAtMost is the greatest number of instances that each send their state to all others.
 	// With more instances, hubs distribute it. That takes fewer datagrams, and updates are at most
 	// two beats old in place of several, but it adds a beat's delay where all instances could be
 	// reached directly.
 	MeshAtMost int
-	// ReadersInMesh is how many instances leave long polls waiting at the store where there are
+	// LongPollersWithoutHubs is how many instances leave long polls waiting at the store where there are
 	// no hubs. The others check the freshness of the data, so a second one only costs calls. With
 	// one alone, updates wait for these checks whenever it is restarted.
-	ReadersInMesh int
+	LongPollersWithoutHubs int
 	// HubsPerZone is how many hubs receive the heartbeats of a zone's members. The second takes
 	// over when the first falls silent. A third would cost each member a datagram a beat.
 	HubsPerZone int
-	// KeepEvery is the period of the heartbeats that an instance without updates sends to its
+	// KeepAliveEvery is the period of the heartbeats that an instance without updates sends to its
 	// hubs. SubscribedFor is how long a hub serves an instance after its last heartbeat. It
 	// covers three of these periods, since datagrams are lost now and then. DirectSilence is the
 	// time without direct contact after which a member counts as silent.
-	KeepEvery     time.Duration
-	SubscribedFor time.Duration
-	DirectSilence time.Duration
+	KeepAliveEvery time.Duration
+	SubscribedFor  time.Duration
+	DirectSilence  time.Duration
 	// HubBeatEvery is the pause between two digests of a hub, each about 1.2 KB to every member
 	// of its zone. A shorter pause spreads the committed memory of engines sooner. At 75 ms a
 	// member receives 16 KB a second.
@@ -123,9 +123,9 @@
 	// servers a hub sent 4 MB a second and took 0.36 of a core. 59 members and 74 servers need
 	// less than the bound.
 	HubBytes int
-	// HelloEvery is the pause between two attempts to contact addresses that belong to no known
+	// DiscoveryEvery is the pause between two attempts to contact addresses that belong to no known
 	// sibling. Seeds and addresses on the list of instances may be out of date.
-	HelloEvery time.Duration
+	DiscoveryEvery time.Duration
 	// HubSilence is how long a hub may leave a subscriber without a digest, which it sends at
 	// each beat. The subscriber then avoids the hub for HubAvoidedFor.
 	HubSilence    time.Duration
@@ -133,18 +133,18 @@
 	// HubGrace is how long an instance must have been a hub before it reports members as silent.
 	// The members need that time to choose it as their hub.
 	HubGrace time.Duration
-	// ZoneSumFor is how long the sum of another zone is valid without renewal, and CountHoldsFor
+	// ZoneSumExpiresAfter is how long the sum of another zone is valid without renewal, and CountExpiresAfter
 	// the same for the number of instances.
-	ZoneSumFor    time.Duration
-	CountHoldsFor time.Duration
+	ZoneSumExpiresAfter time.Duration
+	CountExpiresAfter   time.Duration
 	// LoadsAtOnce bounds the servers that a digest holds because their sums have changed, about
 	// 19 bytes each. LoadsInTurn is how many servers it holds in any case, each in its turn.
 	LoadsAtOnce int
 	LoadsInTurn int
-	// StatesAtOnce bounds the siblings in one digest, about 110 bytes each. HelloAtOnce bounds the
+	// StatesAtOnce bounds the siblings in one digest, about 110 bytes each. DiscoveryAtOnce bounds the
 	// unknown addresses that are contacted at a time.
-	StatesAtOnce int
-	HelloAtOnce  int
+	StatesAtOnce    int
+	DiscoveryAtOnce int
 	// RepeatedAtOnce is how many siblings' states a digest repeats in turn, about 60 bytes each.
 	// With 295 siblings each state is repeated every 5.5 s. A subscriber keeps a wrong state until
 	// then.
@@ -154,17 +154,17 @@
 	UpdatesAtMost int
 	// FirstStart is set when all instances start for the first time, so that no caller waits for
 	// them yet and none has any data. Instances that are not meant to read the store then wait at
-	// most FirstPatience for data from the others. Those that are meant to read it wait for
-	// ReaderPatience, in which they learn of each other.
-	FirstStart     bool
-	FirstPatience  time.Duration
-	ReaderPatience time.Duration
-	// StartPatience is how long an instance that starts receives its siblings' messages before it
+	// most FirstReadTimeout for data from the others. Those that are meant to read it wait for
+	// ReaderWait, in which they learn of each other.
+	FirstStart       bool
+	FirstReadTimeout time.Duration
+	ReaderWait       time.Duration
+	// StartWait is how long an instance that starts receives its siblings' messages before it
 	// leaves a long poll waiting at the store. With many instances only hubs do.
-	StartPatience time.Duration
-	// IdleLook is the pause between two checks whether an instance that leaves no long poll
+	StartWait time.Duration
+	// IdleCheckEvery is the pause between two checks whether an instance that leaves no long poll
 	// waiting at the store has to read it. The instance is woken when it begins to leave one.
-	IdleLook time.Duration
+	IdleCheckEvery time.Duration
 
 	// RetryRatio and RetrySlack bound the retries to one service in a RetryWindow, from all
 	// instances together.
@@ -179,11 +179,11 @@
 	// that has just started: ColdOverage times its rate plus ColdSlack.
 	ColdOverage float64
 	ColdSlack   float64
-	// AllotmentFresh is the greatest age of a hub's report of the teams' balances that an instance
+	// AllotmentMaxAge is the greatest age of a hub's report of the teams' balances that an instance
 	// relies on. It covers four digests, or two where they are less frequent. If it is too long,
 	// the members of a lost hub all spend the same balance. If it is too short, each lost datagram
 	// makes an instance refuse requests without need.
-	AllotmentFresh time.Duration
+	AllotmentMaxAge time.Duration
 	// TeamsAtOnce bounds the teams in one digest, some 17 bytes each.
 	TeamsAtOnce int
 
@@ -208,7 +208,7 @@
 		RetryAtMost:    time.Second,
 		CatchUpEvery:   150 * time.Millisecond,
 		RosterEvery:    30 * time.Second,
-		RosterPatience: 500 * time.Millisecond,
+		RosterWait:     500 * time.Millisecond,
 		RosterAlone:    3 * time.Second,
 		AnnounceWithin: 4 * time.Second,
 		Members: member.Config{
@@ -218,43 +218,43 @@
 			AbandonAfter:   30 * time.Second,
 			ForgetAfter:    2 * time.Minute,
 		},
-		LongPause:           600 * time.Millisecond,
-		NearPerBeat:         24,
-		FarPerBeat:          12,
-		PeersNamed:          4,
-		QuickBeat:           30 * time.Millisecond,
-		QuickBeatPerSibling: 5 * time.Millisecond,
-		Subset:              subset.DefaultConfig(),
-		ReviewEvery:         time.Second,
-		WholeFor:            10 * time.Second,
-		MeshAtMost:          36,
-		ReadersInMesh:       2,
-		HubsPerZone:         2,
-		KeepEvery:           300 * time.Millisecond,
-		SubscribedFor:       time.Second,
-		DirectSilence:       time.Second,
-		HubBeatEvery:        75 * time.Millisecond,
-		HubBytes:            1 << 20,
-		HelloEvery:          600 * time.Millisecond,
-		HubSilence:          600 * time.Millisecond,
-		HubAvoidedFor:       3 * time.Second,
-		HubGrace:            2 * time.Second,
-		ZoneSumFor:          3 * time.Second,
-		CountHoldsFor:       10 * time.Second,
-		LoadsAtOnce:         320,
-		LoadsInTurn:         48,
-		StatesAtOnce:        32,
-		HelloAtOnce:         8,
-		RepeatedAtOnce:      4,
-		UpdatesAtMost:       32,
-		FirstPatience:       6 * time.Second,
-		ReaderPatience:      1500 * time.Millisecond,
-		StartPatience:       400 * time.Millisecond,
-		IdleLook:            2 * time.Second,
-		AllotmentFresh:      300 * time.Millisecond,
-		TeamsAtOnce:         64,
-		PrefillShare:        defaultPrefillShare,
-		OrdersEvery:         500 * time.Millisecond,
+		SuspendedAfter:         600 * time.Millisecond,
+		NearPerBeat:            24,
+		FarPerBeat:             12,
+		PeersNamed:             4,
+		MinBeatPause:           30 * time.Millisecond,
+		MinBeatPausePerSibling: 5 * time.Millisecond,
+		Subset:                 subset.DefaultConfig(),
+		ReviewEvery:            time.Second,
+		FullListKeptFor:        10 * time.Second,
+		MeshAtMost:             36,
+		LongPollersWithoutHubs: 2,
+		HubsPerZone:            2,
+		KeepAliveEvery:         300 * time.Millisecond,
+		SubscribedFor:          time.Second,
+		DirectSilence:          time.Second,
+		HubBeatEvery:           75 * time.Millisecond,
+		HubBytes:               1 << 20,
+		DiscoveryEvery:         600 * time.Millisecond,
+		HubSilence:             600 * time.Millisecond,
+		HubAvoidedFor:          3 * time.Second,
+		HubGrace:               2 * time.Second,
+		ZoneSumExpiresAfter:    3 * time.Second,
+		CountExpiresAfter:      10 * time.Second,
+		LoadsAtOnce:            320,
+		LoadsInTurn:            48,
+		StatesAtOnce:           32,
+		DiscoveryAtOnce:        8,
+		RepeatedAtOnce:         4,
+		UpdatesAtMost:          32,
+		FirstReadTimeout:       6 * time.Second,
+		ReaderWait:             1500 * time.Millisecond,
+		StartWait:              400 * time.Millisecond,
+		IdleCheckEvery:         2 * time.Second,
+		AllotmentMaxAge:        300 * time.Millisecond,
+		TeamsAtOnce:            64,
+		PrefillShare:           defaultPrefillShare,
+		OrdersEvery:            500 * time.Millisecond,
 	}
 }
 
--- a/edge/deps.go
+++ b/edge/deps.go
@@ -40,7 +40,7 @@
 	// more requests. If Whole is set, zones that are missing are not evacuated. Otherwise they
 	// keep their state.
 	Evacuated map[string]bool
-	Whole     bool
+	Full      bool
 }
 
 // ServerList is the source of the list of backend servers.
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -380,7 +380,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		running.Go(func() { in.catchUp(ctx) })
-		in.members.Heard(member.Info{Name: "b", Incarnation: 1, Peer: "127.0.0.1:1", Next: 9}, time.Now())
+		in.members.ApplyHeartbeat(member.Info{Name: "b", Incarnation: 1, Peer: "127.0.0.1:1", Next: 9}, time.Now())
 		time.Sleep(5 * in.config.CatchUpEvery)
 		cancel()
 		running.Wait()
@@ -404,7 +404,7 @@
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", 1000+i)
 		addresses = append(addresses, address)
-		in.members.Heard(member.Info{Name: fmt.Sprint(i), Incarnation: 1, Zone: zone, Peer: address}, time.Now())
+		in.members.ApplyHeartbeat(member.Info{Name: fmt.Sprint(i), Incarnation: 1, Zone: zone, Peer: address}, time.Now())
 	}
 	every := len(addresses) / in.config.FarPerBeat
 	sent := make(map[string]int)
--- a/edge/entry.go
+++ b/edge/entry.go
@@ -58,7 +58,7 @@
 // sibling, and otherwise rarely. In each period about rosterReaders instances read it.
 func (in *Instance) followRoster(ctx context.Context) {
 	announced, failures := in.announce(ctx), 0
-	in.pause(ctx, in.config.RosterPatience)
+	in.pause(ctx, in.config.RosterWait)
 	for ctx.Err() == nil {
 		alone := len(in.members.View().Siblings) == 0
 		if alone || in.deps.Random()*float64(in.Instances()) < rosterReaders {
--- a/edge/entry_test.go
+++ b/edge/entry_test.go
@@ -21,7 +21,7 @@
 	for zone := range in.config.RegionOf {
 		for i := range perZone {
 			name := fmt.Sprintf("%s-%d", zone, i)
-			in.members.Heard(member.Info{Name: name, Zone: zone, Caller: name, Peer: name, Incarnation: 1}, time.Now())
+			in.members.ApplyHeartbeat(member.Info{Name: name, Zone: zone, Caller: name, Peer: name, Incarnation: 1}, time.Now())
 		}
 	}
 	return in
--- a/edge/era.go
+++ b/edge/era.go
@@ -20,7 +20,7 @@
 // Config.AnnounceWithin.
 func (in *Instance) followEra(ctx context.Context) {
 	known := in.era()
-	for in.pause(ctx, in.config.IdleLook) {
+	for in.pause(ctx, in.config.IdleCheckEvery) {
 		era := in.era()
 		if era <= known {
 			continue
--- a/edge/evacuation.go
+++ b/edge/evacuation.go
@@ -36,7 +36,7 @@
 	if evacuated == nil {
 		evacuated = make(map[string]bool)
 	}
-	if before != nil && !changes.Whole {
+	if before != nil && !changes.Full {
 		for _, zone := range before.Zones {
 			if _, changed := evacuated[zone]; !changed {
 				evacuated[zone] = true
--- a/edge/evacuation_test.go
+++ b/edge/evacuation_test.go
@@ -131,8 +131,8 @@
 	check("a message that is behind", "x", "z")
 	in.applyEvacuation(OperatorChanges{}, 10)
 	check("a read without evacuations", "x", "z")
-	in.applyEvacuation(OperatorChanges{Whole: true, Evacuated: map[string]bool{"w": true}}, 11)
+	in.applyEvacuation(OperatorChanges{Full: true, Evacuated: map[string]bool{"w": true}}, 11)
 	check("a full read", "w")
-	in.applyEvacuation(OperatorChanges{Whole: true}, 12)
+	in.applyEvacuation(OperatorChanges{Full: true}, 12)
 	check("a full read without evacuations")
 }
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -80,7 +80,7 @@
 // idle waits until this instance begins to leave long polls waiting, or until it is time to check
 // whether it has to read for another reason.
 func (f *feed) idle(ctx context.Context, begins <-chan struct{}) {
-	look := time.NewTimer(f.config.IdleLook)
+	look := time.NewTimer(f.config.IdleCheckEvery)
 	defer look.Stop()
 	select {
 	case <-ctx.Done():
@@ -92,13 +92,13 @@
 // next polls if that is due and returns the pause until the next poll.
 func (f *feed) next(ctx context.Context) time.Duration {
 	if f.idles() {
-		return f.config.IdleLook
+		return f.config.IdleCheckEvery
 	}
 	if f.awaitsOthers() {
 		return startCheckEvery
 	}
-	if began := clock.Since(f.started); f.progress() > 0 && began < f.config.StartPatience {
-		return f.config.StartPatience - began
+	if began := clock.Since(f.started); f.progress() > 0 && began < f.config.StartWait {
+		return f.config.StartWait - began
 	}
 	return f.pollOnce(ctx)
 }
--- a/edge/fleet_test.go
+++ b/edge/fleet_test.go
@@ -245,7 +245,7 @@
 
 func (s tableLog) Newest(ctx context.Context) (OperatorChanges, oplog.Position, error) {
 	all, next, err := s.Since(ctx, 0, 0)
-	all.Whole = true
+	all.Full = true
 	return all, next, err
 }
 
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -117,7 +117,7 @@
 			return time.Time{}, err
 		}
 		in.list.noteAnswer(sentAt, false)
-		in.registry.Take(snapshot, nil, clock.Now())
+		in.registry.ResetWithFilter(snapshot, nil, clock.Now())
 		in.rebuild()
 		in.reviewSubset(clock.Now())
 		return in.confirmedUpTo(sentAt, snapshot.Position), nil
@@ -155,7 +155,7 @@
 	var reviewed, shared time.Time
 	for wait.For(ctx, in.config.Members.HeartbeatEvery) {
 		now := clock.Now()
-		if late := now.Sub(last) - in.config.Members.HeartbeatEvery; late > in.config.LongPause {
+		if late := now.Sub(last) - in.config.Members.HeartbeatEvery; late > in.config.SuspendedAfter {
 			klog.InfoS("Cleared failures of servers after this instance was suspended", "pauseMillis", late.Milliseconds(), "suspendedMillis", (clock.Suspended() - suspended).Milliseconds())
 			in.Fleet.ResetFailures(now)
 		}
--- a/edge/fuzz_test.go
+++ b/edge/fuzz_test.go
@@ -15,10 +15,10 @@
 func FuzzDatagram(f *testing.F) {
 	for _, age := range []time.Duration{0, time.Second, -time.Hour} {
 		datagram, err := heartbeat.Encode(heartbeat.Message{
-			From:       member.Info{Name: "b", Incarnation: 1, Peer: "127.0.0.1:1"},
-			Loads:      []heartbeat.Load{{Server: 1, InFlight: -1, Memory: -5}},
-			Changing:   []heartbeat.Change{{Server: 1, Left: time.Hour}},
-			TableHeard: &age, ServersHeard: &age,
+			From:            member.Info{Name: "b", Incarnation: 1, Peer: "127.0.0.1:1"},
+			Loads:           []heartbeat.Load{{Server: 1, InFlight: -1, Memory: -5}},
+			Changing:        []heartbeat.RoleChange{{Server: 1, Left: time.Hour}},
+			TableContactAge: &age, ServersContactAge: &age,
 		})
 		if err != nil {
 			f.Fatal(err)
--- a/edge/hubbeat.go
+++ b/edge/hubbeat.go
@@ -33,7 +33,7 @@
 	}
 	settled := in.hubs.setHub(hub, now) >= in.config.HubGrace
 	in.watch(settled)
-	every := in.config.KeepEvery
+	every := in.config.KeepAliveEvery
 	if changed || urgent || in.hubs.takeAcknowledge() {
 		every = 0
 	}
@@ -41,7 +41,7 @@
 	if in.hubs.due(&in.hubs.lastNotify, every*9/10, now) {
 		in.sendToHubs(now, self, chosen, hub, settled, loads)
 	}
-	if in.hubs.due(&in.hubs.lastDiscovery, in.config.HelloEvery, now) {
+	if in.hubs.due(&in.hubs.lastDiscovery, in.config.DiscoveryEvery, now) {
 		in.discoverHubs(now, view, loads)
 		in.introduceHubs()
 	}
@@ -116,10 +116,10 @@
 }
 
 func (in *Instance) sendToHub(now time.Time, message heartbeat.Message, to member.Info, want bool, requested map[string]bool) {
-	message.Want = want
-	message.Uses = nil
-	if want && message.From.Part {
-		message.Uses = in.uses.Load().Shares()
+	message.RequestHub = want
+	message.Shares = nil
+	if want && message.From.UsesSubset {
+		message.Shares = in.uses.Load().Shares()
 	}
 	if want {
 		requested[to.Name] = true
@@ -144,8 +144,8 @@
 		return
 	}
 	message := in.message(now)
-	message.Hubs, message.Want, message.Loads = true, true, loads
-	in.send(message, in.sample(unknown, in.config.HelloAtOnce)...)
+	message.Hubs, message.RequestHub, message.Loads = true, true, loads
+	in.send(message, in.sample(unknown, in.config.DiscoveryAtOnce)...)
 }
 
 // hubsOfZones returns the hubs of each zone as this instance chose them at the last beat.
@@ -168,7 +168,7 @@
 
 // serveSubscribers sends a digest to each subscriber and returns the total number of bytes sent.
 func (in *Instance) serveSubscribers(now time.Time, view *member.View, settled, urgent bool, loads []heartbeat.Load) (bytes int) {
-	subscribers := in.hubs.toServe(now, in.config.KeepEvery, urgent)
+	subscribers := in.hubs.toServe(now, in.config.KeepAliveEvery, urgent)
 	if len(subscribers) == 0 {
 		return 0
 	}
@@ -190,9 +190,9 @@
 	news := urgent || message.Poison != nil || message.Pressure != nil || len(message.Changing) > 0 || len(teams) > 0
 	repeat := newRepetition(view, in.config.Zone, in.config.RepeatedAtOnce, now)
 	for _, to := range subscribers {
-		digest := &heartbeat.Digest{Summed: true, Teams: teams, Instances: instances, After: to.seen, Echo: to.uptime, Outgrown: to.outgrown}
+		digest := &heartbeat.Digest{Summed: true, Teams: teams, Instances: instances, After: to.seen, ReceiverUptime: to.uptime, Outgrown: to.outgrown}
 		digest.Zone = to.zone != in.config.Zone
-		digest.Observations, digest.Upto = in.hubs.missingChanges(to.seen, view, repeat.keep(digest.Zone), now)
+		digest.Observations, digest.To = in.hubs.missingChanges(to.seen, view, repeat.keep(digest.Zone), now)
 		some := false
 		if digest.Loads, some, err = sums.of(to.subscriber, digest.Zone); err != nil {
 			klog.ErrorS(err, "Failed to send digest", "sibling", to.name)
@@ -216,7 +216,7 @@
 func directContacts(view *member.View, zone string, now time.Time, within time.Duration) []*member.Sibling {
 	var siblings []*member.Sibling
 	for _, sibling := range view.Siblings {
-		if sibling.Zone == zone && now.Sub(sibling.Heard) <= within {
+		if sibling.Zone == zone && now.Sub(sibling.LastContact) <= within {
 			siblings = append(siblings, sibling)
 		}
 	}
@@ -229,7 +229,7 @@
 		in.applyDigest(message, now)
 	}
 	switch {
-	case message.Want:
+	case message.RequestHub:
 		in.handleSubscription(message, now)
 	case !message.Hubs && in.usesHubs():
 		in.redirect(message.From)
--- a/edge/hubs.go
+++ b/edge/hubs.go
@@ -175,7 +175,7 @@
 	// counts. Without that, an instance that only other zones answered assumed for up to 30 s
 	// that there are few instances, so it used no hubs and knew only 18 of 59 instances
 	// (TestANewInstanceWithSeedsInOtherZonesBecomesKnownToAll).
-	if digest.Instances > 0 && (message.From.Zone == zone || now.Sub(h.instanceCountAt) > h.config.CountHoldsFor) {
+	if digest.Instances > 0 && (message.From.Zone == zone || now.Sub(h.instanceCountAt) > h.config.CountExpiresAfter) {
 		h.instanceCount, h.instanceCountAt = digest.Instances, now
 	}
 	if digest.Summed {
@@ -189,8 +189,8 @@
 	if source.run != message.From.Incarnation {
 		source.run, source.seen = message.From.Incarnation, 0
 	}
-	if digest.After <= source.seen && digest.Upto > source.seen {
-		source.seen = digest.Upto
+	if digest.After <= source.seen && digest.To > source.seen {
+		source.seen = digest.To
 		h.acknowledge = true
 	}
 }
@@ -233,7 +233,7 @@
 func (h *hubs) count(now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if now.Sub(h.instanceCountAt) > h.config.CountHoldsFor {
+	if now.Sub(h.instanceCountAt) > h.config.CountExpiresAfter {
 		return 0
 	}
 	return h.instanceCount
--- a/edge/ledger_test.go
+++ b/edge/ledger_test.go
@@ -35,7 +35,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(10, 700).Draw(t, "pause")) * time.Millisecond)
 			number := rapid.IntRange(0, 9).Draw(t, "sibling")
-			hub.Heard(member.Info{
+			hub.ApplyHeartbeat(member.Info{
 				Name: fmt.Sprint(number), Peer: fmt.Sprint("p", number), Zone: "z", Uptime: now.Sub(time.Unix(1_799_999_999, 0)),
 				Incarnation: operation.Incarnation(rapid.IntRange(1, 3).Draw(t, "run")), Draining: rapid.Bool().Draw(t, "draining"),
 			}, now)
--- a/edge/listupdates.go
+++ b/edge/listupdates.go
@@ -90,7 +90,7 @@
 		}
 	}
 	part := updates
-	part.Of = uses.Fingerprint()
+	part.SubsetFingerprint = uses.Fingerprint()
 	return split(part, indexes, atMost)
 }
 
@@ -133,7 +133,7 @@
 	if updates.From > have || updates.To <= have {
 		return
 	}
-	if updates.Of != 0 && (!before.Part || updates.Of != in.uses.Load().Fingerprint()) {
+	if updates.SubsetFingerprint != 0 && (!before.IsSubset || updates.SubsetFingerprint != in.uses.Load().Fingerprint()) {
 		return
 	}
 	at := now.Add(-updates.Age)
@@ -143,7 +143,7 @@
 	in.rebuild()
 	in.list.noteAnswer(at, updates.To == in.registry.View().Position)
 	in.list.noteProgress(uint64(have))
-	if updates.Of == 0 {
+	if updates.SubsetFingerprint == 0 {
 		in.sendUpdates(*updates, before, message.From.Name)
 	}
 }
--- a/edge/mesh.go
+++ b/edge/mesh.go
@@ -31,7 +31,7 @@
 			better++
 		}
 	}
-	return better < in.config.ReadersInMesh
+	return better < in.config.LongPollersWithoutHubs
 }
 
 // tolerableLosses is how many heartbeats may be missing before a sibling is suspected where
--- a/edge/orders.go
+++ b/edge/orders.go
@@ -74,7 +74,7 @@
 func (o *orders) run(ctx context.Context) {
 	for o.pause(ctx, o.config.OrdersEvery) {
 		view := o.Table()
-		if view == nil || o.stopping.Load() || o.registry.View().Part {
+		if view == nil || o.stopping.Load() || o.registry.View().IsSubset {
 			continue
 		}
 		for name, service := range view.Services {
@@ -113,7 +113,7 @@
 func (o *orders) rank() int {
 	before := 0
 	for _, sibling := range o.members.View().Siblings {
-		if sibling.State == member.Alive && !sibling.Part && sibling.Name < o.config.Name {
+		if sibling.State == member.Alive && !sibling.UsesSubset && sibling.Name < o.config.Name {
 			before++
 		}
 	}
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -84,28 +84,28 @@
 }
 
 // ownUnderWay lists the role changes that this instance has ordered and that are in progress.
-func (p *peers) ownUnderWay(now time.Time) []heartbeat.Change {
+func (p *peers) ownUnderWay(now time.Time) []heartbeat.RoleChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return changesUnderWay(p.ownChanges, now)
 }
 
 // allUnderWay lists all role changes that are in progress.
-func (p *peers) allUnderWay(now time.Time) []heartbeat.Change {
+func (p *peers) allUnderWay(now time.Time) []heartbeat.RoleChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append(changesUnderWay(p.ownChanges, now), changesUnderWay(p.siblingChanges, now)...)
 }
 
 // changesUnderWay lists the role changes that are in progress and drops those that are over.
-func changesUnderWay(changing map[uint32]time.Time, now time.Time) []heartbeat.Change {
-	var changes []heartbeat.Change
+func changesUnderWay(changing map[uint32]time.Time, now time.Time) []heartbeat.RoleChange {
+	var changes []heartbeat.RoleChange
 	for server, until := range changing {
 		if !now.Before(until) {
 			delete(changing, server)
 			continue
 		}
-		changes = append(changes, heartbeat.Change{Server: server, Left: until.Sub(now)})
+		changes = append(changes, heartbeat.RoleChange{Server: server, Left: until.Sub(now)})
 	}
 	return changes
 }
--- a/edge/servers.go
+++ b/edge/servers.go
@@ -51,7 +51,7 @@
 
 // usedServers returns the part of a list that an instance uses.
 func usedServers(list *registry.View, uses *subset.Subset) *registry.View {
-	if uses == nil || list.Part {
+	if uses == nil || list.IsSubset {
 		return list
 	}
 	used := &registry.View{Position: list.Position, Read: list.Read}
@@ -149,14 +149,14 @@
 		server := &after.Servers[i]
 		old := before.Find(server.ID)
 		switch {
-		case old == nil || old.Entry != server.Entry || (old.Lapsed && !server.Lapsed):
+		case old == nil || old.Entry != server.Entry || (old.Expired && !server.Expired):
 			if old != nil && old.Born != server.Born {
 				klog.InfoS("Server restarted and the state of its previous run was dropped", "server", server.Run(), "before", old.Run(), "position", after.Position)
 			}
 			klog.InfoS("Server added or updated", "server", server.Run(), "service", server.Service, "address", server.Address, "zone", server.Zone,
 				"role", server.Role, "draining", server.Draining, "position", after.Position)
-		case server.Lapsed && !old.Lapsed:
-			klog.InfoS("Server entry expired and may return", "server", server.Run(), "usedForMillis", server.Gone.Sub(after.Read).Milliseconds(), "position", after.Position)
+		case server.Expired && !old.Expired:
+			klog.InfoS("Server entry expired and may return", "server", server.Run(), "usedForMillis", server.DropAt.Sub(after.Read).Milliseconds(), "position", after.Position)
 		}
 	}
 	for i := range before.Servers {
--- a/edge/siblings.go
+++ b/edge/siblings.go
@@ -80,7 +80,7 @@
 		Capacity:    in.config.Capacity,
 	}
 	list := in.registry.View()
-	info.Next, info.Part = uint64(list.Position), list.Part
+	info.Next, info.UsesSubset = uint64(list.Position), list.IsSubset
 	info.Revision = in.Revision()
 	return info
 }
@@ -118,13 +118,13 @@
 		return
 	}
 	before, known := in.members.Find(message.From.Name)
-	if in.members.Heard(message.From, now) {
+	if in.members.ApplyHeartbeat(message.From, now) {
 		in.applyMessage(message, now)
 		in.logSibling(before, known, message.From)
 		if !known || before.Incarnation != message.From.Incarnation || before.Draining != message.From.Draining {
 			in.hurryHub()
 		}
-		if !known || before.Incarnation != message.From.Incarnation || now.Sub(before.Heard) > missedAfter {
+		if !known || before.Incarnation != message.From.Incarnation || now.Sub(before.LastContact) > missedAfter {
 			in.sendFullPoison(message.From, now)
 			in.sendFullBackpressure(message.From, now)
 		}
@@ -153,8 +153,8 @@
 	in.applySpent(message, now)
 	in.applyUpdates(message, now)
 	in.mergeEvacuation(message)
-	table := applyStoreAge(in.tableFeed, message.TableHeard, message.From.Revision, now)
-	list := applyStoreAge(in.list, message.ServersHeard, message.From.Next, now)
+	table := applyStoreAge(in.tableFeed, message.TableContactAge, message.From.Revision, now)
+	list := applyStoreAge(in.list, message.ServersContactAge, message.From.Next, now)
 	if table || list || message.From.Revision > in.Revision() {
 		in.hurryHub()
 	}
--- a/edge/start.go
+++ b/edge/start.go
@@ -22,9 +22,9 @@
 func (f *feed) awaitsOthers() bool {
 	began := clock.Since(f.started)
 	switch {
-	case !f.config.FirstStart || f.progress() > 0 || began >= f.config.FirstPatience:
+	case !f.config.FirstStart || f.progress() > 0 || began >= f.config.FirstReadTimeout:
 		return false
-	case began < f.config.ReaderPatience:
+	case began < f.config.ReaderWait:
 		return true
 	}
 	return !f.longPolls.Load()
@@ -46,10 +46,10 @@
 		switch {
 		case in.registry.View().Position > known && !in.needsFullListNow():
 			return errLeftToOthers
-		case waited < in.config.ReaderPatience && clock.Since(in.started) < 2*in.config.ReaderPatience:
+		case waited < in.config.ReaderWait && clock.Since(in.started) < 2*in.config.ReaderWait:
 		case in.longPolls.Load():
 			return nil
-		case waited >= in.config.FirstPatience/2:
+		case waited >= in.config.FirstReadTimeout/2:
 			if in.deps.Random() < chance {
 				klog.InfoS("Reading the full list because no sibling sent it", "waitedMillis", waited.Milliseconds(), "instances", in.Instances())
 				return nil
@@ -61,4 +61,4 @@
 }
 
 // needsFullListNow reports whether this instance needs the full list and knows only a subset.
-func (in *Instance) needsFullListNow() bool { return in.registry.View().Part && in.needsFullList() }
+func (in *Instance) needsFullListNow() bool { return in.registry.View().IsSubset && in.needsFullList() }
--- a/edge/subscribers.go
+++ b/edge/subscribers.go
@@ -38,7 +38,7 @@
 	if message.SeenRun != self {
 		seen = 0
 	}
-	next := &subscriber{peer: message.From.Peer, zone: message.From.Zone, seen: seen, lastContact: now, uptime: message.From.Uptime, part: message.From.Part}
+	next := &subscriber{peer: message.From.Peer, zone: message.From.Zone, seen: seen, lastContact: now, uptime: message.From.Uptime, part: message.From.UsesSubset}
 	before := h.subscribers[message.From.Name]
 	if before == nil {
 		before = new(subscriber)
@@ -46,8 +46,8 @@
 	next.lastDigest, next.turn = before.lastDigest, before.turn
 	if next.part {
 		next.uses, next.outgrown = before.uses, before.outgrown
-		if !slices.Equal(before.uses.Shares(), message.Uses) || before.uses == nil {
-			next.uses, next.outgrown = subset.New(message.From.Name, message.From.Zone, message.Uses), false
+		if !slices.Equal(before.uses.Shares(), message.Shares) || before.uses == nil {
+			next.uses, next.outgrown = subset.New(message.From.Name, message.From.Zone, message.Shares), false
 		}
 	}
 	h.subscribers[message.From.Name] = next
--- a/edge/sums.go
+++ b/edge/sums.go
@@ -34,7 +34,7 @@
 		h.zones[zone] = zoneSum{at: now, loads: merged(h.zones[zone].loads, encoded, nil)}
 		return
 	}
-	h.sums = merged(h.sums, encoded, h.sentBy(digest.Echo))
+	h.sums = merged(h.sums, encoded, h.sentBy(digest.ReceiverUptime))
 }
 
 // merged returns sums with newer values for some servers, less what the receiver itself has
@@ -132,7 +132,7 @@
 	defer h.mu.Unlock()
 	total := make(map[uint32]route.Commitment)
 	for zone, sum := range h.zones {
-		if now.Sub(sum.at) > h.config.ZoneSumFor {
+		if now.Sub(sum.at) > h.config.ZoneSumExpiresAfter {
 			delete(h.zones, zone)
 			continue
 		}
--- a/edge/suspended_test.go
+++ b/edge/suspended_test.go
@@ -61,7 +61,7 @@
 			t.Errorf("right after a suspension of 20 s the table was confirmed %v ago", age)
 		}
 		for _, sibling := range in.members.View().Siblings {
-			if age := ageOf(sibling.Heard); age < 19*time.Second {
+			if age := ageOf(sibling.LastContact); age < 19*time.Second {
 				t.Errorf("the last contact with %s was %v ago", sibling.Name, age)
 			}
 		}
@@ -83,8 +83,8 @@
 	runFleet(t, 3, func(f *fleet) {
 		in := f.instances[0]
 		suspend(t, 20*time.Second)
-		if message := in.message(clock.Now()); *message.ServersHeard < 19*time.Second || *message.TableHeard < 19*time.Second || message.From.Uptime < 24*time.Second {
-			t.Errorf("reported list age %v, table age %v, uptime %v", *message.ServersHeard, *message.TableHeard, message.From.Uptime)
+		if message := in.message(clock.Now()); *message.ServersContactAge < 19*time.Second || *message.TableContactAge < 19*time.Second || message.From.Uptime < 24*time.Second {
+			t.Errorf("reported list age %v, table age %v, uptime %v", *message.ServersContactAge, *message.TableContactAge, message.From.Uptime)
 		}
 	})
 }
--- a/edge/teams.go
+++ b/edge/teams.go
@@ -52,7 +52,7 @@
 	default:
 		next := in.adopted.Load().next(now)
 		in.adopted.Store(&next)
-		update := allotment.HubUpdate{Levels: digest.Teams, Known: in.started.Add(digest.Echo)}
+		update := allotment.HubUpdate{Levels: digest.Teams, Known: in.started.Add(digest.ReceiverUptime)}
 		if in.followsHub() {
 			update.Due = now.Add(next.pause(in.config.HubBeatEvery))
 		}
@@ -123,7 +123,7 @@
 // followedShare returns the share of an instance that follows a hub. It is the full limit while
 // the hub's update is fresh, and the instance's own share after that.
 func (in *Instance) followedShare(now time.Time) float64 {
-	if in.adopted.Load().fresh(now, in.config.AllotmentFresh) {
+	if in.adopted.Load().fresh(now, in.config.AllotmentMaxAge) {
 		return 1
 	}
 	return 1 / float64(in.budgetInstances(now))
@@ -141,7 +141,7 @@
 			if fresh[sibling.Zone] {
 				inContact++
 			}
-		case now.Sub(sibling.Heard) <= in.config.DirectSilence:
+		case now.Sub(sibling.LastContact) <= in.config.DirectSilence:
 			inContact++
 		}
 	}
--- a/edge/teams_test.go
+++ b/edge/teams_test.go
@@ -164,7 +164,7 @@
 // Digests that come less often because there are many members and servers do not count as silence. A
 // hub that is silent counts as silent soon, also after an earlier outage.
 func TestAHubsUpdateCountsForAsLongAsItsDigestsTake(t *testing.T) {
-	least := DefaultConfig().AllotmentFresh
+	least := DefaultConfig().AllotmentMaxAge
 	for _, every := range []time.Duration{75 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond} {
 		var a *adoption
 		now := time.Unix(1000, 0)
--- a/edge/updates_test.go
+++ b/edge/updates_test.go
@@ -44,18 +44,18 @@
 
 func TestHeartbeatsAreRarerAmongManySiblings(t *testing.T) {
 	in := bareInstance("a", &claims{}, enginesOf(1, 1))
-	if got := in.minBeatPause(); got != in.config.QuickBeat {
+	if got := in.minBeatPause(); got != in.config.MinBeatPause {
 		t.Errorf("alone: %v", got)
 	}
 	for _, name := range []string{"b", "c", "d", "e", "f", "g", "h", "i"} {
-		in.members.Heard(member.Info{Name: name, Incarnation: 1, Peer: name}, time.Now())
+		in.members.ApplyHeartbeat(member.Info{Name: name, Incarnation: 1, Peer: name}, time.Now())
 	}
-	if got := in.minBeatPause(); got != 8*in.config.QuickBeatPerSibling {
+	if got := in.minBeatPause(); got != 8*in.config.MinBeatPausePerSibling {
 		t.Errorf("eight siblings: %v", got)
 	}
 	for i := range 400 {
 		name := string(rune('A' + i))
-		in.members.Heard(member.Info{Name: name, Incarnation: 1, Peer: name}, time.Now())
+		in.members.ApplyHeartbeat(member.Info{Name: name, Incarnation: 1, Peer: name}, time.Now())
 	}
 	if got := in.minBeatPause(); got != in.config.Members.HeartbeatEvery {
 		t.Errorf("four hundred siblings: %v", got)
@@ -76,7 +76,7 @@
 			From:  member.Info{Name: "b", Incarnation: 1, Peer: "127.0.0.1:1"},
 			Loads: []heartbeat.Load{{Server: route.ServerID(engine), InFlight: 1, Memory: 7000}},
 		})
-		time.Sleep(in.config.QuickBeat)
+		time.Sleep(in.config.MinBeatPause)
 		synctest.Wait()
 		if got := in.Fleet.Server(engine).Others().Memory; got != 7000 {
 			t.Errorf("siblings have committed %d tokens", got)
@@ -92,7 +92,7 @@
 		in := bareInstance("a", &claims{}, engines)
 		in.readEngines(engines)
 		for i := range 100 {
-			in.members.Heard(member.Info{Name: string(rune('A' + i)), Incarnation: 1, Peer: "127.0.0.1:1"}, time.Now())
+			in.members.ApplyHeartbeat(member.Info{Name: string(rune('A' + i)), Incarnation: 1, Peer: "127.0.0.1:1"}, time.Now())
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		go in.followLoads(ctx)
@@ -125,7 +125,7 @@
 	}
 	for i := range 400 {
 		name := string(rune('A' + i))
-		in.members.Heard(member.Info{Name: name, Incarnation: 1, Peer: name}, time.Now())
+		in.members.ApplyHeartbeat(member.Info{Name: name, Incarnation: 1, Peer: name}, time.Now())
 		if got := in.readPause(); got <= in.config.ReadEvery || got > in.config.ReadAtMost {
 			t.Fatalf("%d siblings: %v", i+1, got)
 		}
--- a/edge/uses.go
+++ b/edge/uses.go
@@ -54,12 +54,12 @@
 	if !in.usesHubs() {
 		return nil
 	}
-	return in.config.Subset.Of(name, zone, in.census(list), subset.Instances{All: in.Instances(), Near: near})
+	return in.config.Subset.Select(name, zone, in.census(list), subset.Instances{All: in.Instances(), Near: near})
 }
 
 // holdsEntry reports whether the server of an entry is in a subset.
 func holdsEntry(uses *subset.Subset, entry *registry.Entry) bool {
-	return uses.Holds(entry.ID, entry.Service, entry.Zone)
+	return uses.Contains(entry.ID, entry.Service, entry.Zone)
 }
 
 // subsetFilter returns the registry filter that keeps the servers of a subset.
@@ -77,7 +77,7 @@
 // others from the list once the full list is no longer needed here.
 func (in *Instance) reviewSubset(now time.Time) {
 	list := in.registry.View()
-	if list.Part {
+	if list.IsSubset {
 		return
 	}
 	uses := in.uses.Load()
@@ -86,8 +86,8 @@
 		in.setSubset(wanted, "the full list")
 		uses = wanted
 	}
-	if unneeded := in.hubs.fullListUnneededFor(in.needsFullList(), now); uses != nil && unneeded > in.config.WholeFor {
-		in.registry.Keep(subsetFilter(uses))
+	if unneeded := in.hubs.fullListUnneededFor(in.needsFullList(), now); uses != nil && unneeded > in.config.FullListKeptFor {
+		in.registry.SetFilter(subsetFilter(uses))
 		in.rebuild()
 	}
 }
@@ -104,20 +104,20 @@
 // this instance is to use.
 func (in *Instance) applyList(snapshot *Snapshot, from string) {
 	var uses *subset.Subset
-	if snapshot.Part {
+	if snapshot.IsSubset {
 		uses = subset.New(in.config.Name, in.config.Zone, snapshot.Shares)
 	}
-	if !in.registry.Take(*snapshot.Servers, subsetFilter(uses), clock.Now()) {
+	if !in.registry.ResetWithFilter(*snapshot.Servers, subsetFilter(uses), clock.Now()) {
 		return
 	}
 	in.outgrown.Store(nil)
-	if snapshot.Part {
+	if snapshot.IsSubset {
 		in.setSubset(uses, from)
 	} else {
 		in.rebuild()
 		in.reviewSubset(clock.Now())
 	}
-	klog.InfoS("List of servers received from a sibling", "sibling", from, "position", snapshot.Servers.Position, "part", snapshot.Part,
+	klog.InfoS("List of servers received from a sibling", "sibling", from, "position", snapshot.Servers.Position, "part", snapshot.IsSubset,
 		"servers", len(snapshot.Servers.Entries))
 }
 
@@ -126,18 +126,18 @@
 func (in *Instance) subsetSnapshot(have Have, list *registry.View) Snapshot {
 	servers := list.Snapshot()
 	snapshot := Snapshot{Servers: &servers}
-	if have.Whole {
+	if have.NeedsFullList {
 		return snapshot
 	}
 	uses := in.subsetFor(have.Name, have.Zone, list, in.instancesByZone()[have.Zone])
-	reported := subset.New(have.Name, have.Zone, have.Uses)
-	if uses != nil && len(have.Uses) > 0 && in.config.Subset.Fits(reported, uses, in.census(list)) {
+	reported := subset.New(have.Name, have.Zone, have.Shares)
+	if uses != nil && len(have.Shares) > 0 && in.config.Subset.Fits(reported, uses, in.census(list)) {
 		uses = reported
 	}
 	if uses == nil {
 		return snapshot
 	}
-	snapshot.Part, snapshot.Shares = true, uses.Shares()
+	snapshot.IsSubset, snapshot.Shares = true, uses.Shares()
 	kept := servers.Entries[:0]
 	for _, entry := range servers.Entries {
 		if holdsEntry(uses, &entry) {
@@ -152,7 +152,7 @@
 // suitable.
 func (in *Instance) reviewSubscribers() {
 	list := in.registry.View()
-	if list.Part {
+	if list.IsSubset {
 		return
 	}
 	byZone, census := in.instancesByZone(), in.census(list)
--- a/edge/uses_test.go
+++ b/edge/uses_test.go
@@ -28,7 +28,7 @@
 // servers.
 func manyServersConfig() Config {
 	config := DefaultConfig()
-	config.Subset = subset.Config{AllAtMost: 64, NearAtLeast: 12, FarAtLeast: 4, UsersAtLeast: 4}
+	config.Subset = subset.Config{MaxForAll: 64, MinNear: 12, MinFar: 4, MinUsers: 4}
 	return config
 }
 
@@ -67,7 +67,7 @@
 // fullLists returns the number of instances that know the full list.
 func (f *fleet) fullLists() (count int) {
 	for _, in := range f.all() {
-		if !in.registry.View().Part {
+		if !in.registry.View().IsSubset {
 			count++
 		}
 	}
@@ -83,7 +83,7 @@
 			if used := len(in.Servers().ByRun); used > maxSubset || used < minSubset {
 				t.Errorf("%s uses %d of %d servers", in.config.Name, used, manyServers)
 			}
-			if list := in.registry.View(); list.Part && len(list.Servers) != len(in.Servers().ByRun) {
+			if list := in.registry.View(); list.IsSubset && len(list.Servers) != len(in.Servers().ByRun) {
 				t.Errorf("%s knows %d servers and uses %d", in.config.Name, len(list.Servers), len(in.Servers().ByRun))
 			}
 		}
@@ -175,7 +175,7 @@
 		for _, in := range remaining {
 			if in.hubs.isHub() {
 				hubs++
-				if in.registry.View().Part {
+				if in.registry.View().IsSubset {
 					t.Errorf("%s is a hub and knows only %d servers", in.config.Name, len(in.registry.View().Servers))
 				}
 			}
@@ -235,7 +235,7 @@
 		if used := len(newInstance.Servers().ByRun); used < minSubset || newInstance.Revision() == 0 {
 			t.Errorf("knows %d servers and revision %d", used, newInstance.Revision())
 		}
-		time.Sleep(manyServersConfig().WholeFor + 3*time.Second)
+		time.Sleep(manyServersConfig().FullListKeptFor + 3*time.Second)
 		if used := len(newInstance.Servers().ByRun); used > maxSubset || used < minSubset {
 			t.Errorf("uses %d servers", used)
 		}
@@ -289,8 +289,8 @@
 	for _, change := range parts[0].Changes {
 		got += change.ID
 	}
-	if got != "acd" || parts[0].Of != uses.Fingerprint() {
-		t.Errorf("%q of %d", got, parts[0].Of)
+	if got != "acd" || parts[0].SubsetFingerprint != uses.Fingerprint() {
+		t.Errorf("%q of %d", got, parts[0].SubsetFingerprint)
 	}
 }
 
--- a/explain/search.go
+++ b/explain/search.go
@@ -49,7 +49,7 @@
 // matchesServer reports whether a name is that of the server in the filter or
 // of one run of its process.
 func (f Filter) matchesServer(name string) bool {
-	id, _, _ := strings.Cut(name, registry.RunMark)
+	id, _, _ := strings.Cut(name, registry.RunSeparator)
 	return name == f.Server || id == f.Server
 }
 
--- a/forward/crowd_test.go
+++ b/forward/crowd_test.go
@@ -72,7 +72,7 @@
 	testTable, err := table.New(1, map[table.RowKey]map[table.Column]string{
 		{Kind: table.Service, Name: "llm"}: {
 			table.ColType: table.TypeModel, table.ColModel: "m", table.ColPrefillPool: "llm/prefill", table.ColDecodePool: "llm/decode",
-			table.ColMemory: fmt.Sprint(simMemoryTokens), table.ColHold: "2000", table.ColHandle: "500", table.ColStride: fmt.Sprint(eventTokens),
+			table.ColMemory: fmt.Sprint(simMemoryTokens), table.ColHold: "2000", table.ColHandle: "500", table.ColEventTokens: fmt.Sprint(eventTokens),
 		},
 		{Kind: table.Pool, Name: "llm/prefill"}: {table.ColRole: table.RolePrefill},
 		{Kind: table.Pool, Name: "llm/decode"}:  {table.ColRole: table.RoleDecode},
--- a/forward/harness_test.go
+++ b/forward/harness_test.go
@@ -165,7 +165,7 @@
 	testTable, err := table.New(1, map[table.RowKey]map[table.Column]string{
 		{Kind: table.Service, Name: "llm"}: {
 			table.ColType: table.TypeModel, table.ColModel: "m", table.ColPrefillPool: "llm/prefill", table.ColDecodePool: "llm/decode",
-			table.ColMemory: "40000", table.ColHold: "2000", table.ColHandle: "500", table.ColStride: "64",
+			table.ColMemory: "40000", table.ColHold: "2000", table.ColHandle: "500", table.ColEventTokens: "64",
 		},
 		{Kind: table.Service, Name: "web"}:      {table.ColType: table.TypePlain, table.ColPool: "web"},
 		{Kind: table.Pool, Name: "llm/prefill"}: {table.ColRole: table.RolePrefill},
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -47,24 +47,24 @@
 	Peers []string `cbor:"3,keyasint,omitempty"`
 	// Changing lists the servers, by route.ServerID, that the sender has ordered to
 	// change their role.
-	Changing []Change `cbor:"5,keyasint,omitempty"`
-	// TableHeard and ServersHeard are the times since the store last answered any instance
+	Changing []RoleChange `cbor:"5,keyasint,omitempty"`
+	// TableContactAge and ServersContactAge are the times since the store last answered any instance
 	// with everything that it had of the table and of the list of servers, as far as the
 	// sender knows. Nil means never.
-	TableHeard   *time.Duration `cbor:"6,keyasint,omitempty"`
-	ServersHeard *time.Duration `cbor:"7,keyasint,omitempty"`
+	TableContactAge   *time.Duration `cbor:"6,keyasint,omitempty"`
+	ServersContactAge *time.Duration `cbor:"7,keyasint,omitempty"`
 	// Hubs is set by senders that use hubs. Want requests that the receiver act as the
 	// sender's hub, which means that it sends a digest with each heartbeat for a while.
-	Hubs bool `cbor:"8,keyasint,omitempty"`
-	Want bool `cbor:"9,keyasint,omitempty"`
+	Hubs       bool `cbor:"8,keyasint,omitempty"`
+	RequestHub bool `cbor:"9,keyasint,omitempty"`
 	// Seen is the number of the last change that the sender has from the receiver's change
 	// log of siblings' states. SeenRun is the receiver's run that the change log belongs to.
 	Seen    uint64                `cbor:"10,keyasint,omitempty"`
 	SeenRun operation.Incarnation `cbor:"11,keyasint,omitempty"`
 	Digest  *Digest               `cbor:"12,keyasint,omitempty"`
-	// Uses lists the shares of the servers about which the sender wants to be informed. Nil
+	// Shares lists the shares of the servers about which the sender wants to be informed. Nil
 	// means all servers.
-	Uses    []subset.Share `cbor:"18,keyasint,omitempty"`
+	Shares  []subset.Share `cbor:"18,keyasint,omitempty"`
 	Updates *Updates       `cbor:"13,keyasint,omitempty"`
 	// Poison reports the crashes of servers during requests that the sender has observed.
 	Poison *poison.Update `cbor:"14,keyasint,omitempty"`
@@ -104,15 +104,15 @@
 	// the receiver. The receiver keeps the sums of servers that are not in Loads. The same
 	// sums go to many receivers, so Loads is encoded once. Echo is the receiver's uptime when
 	// it sent the last of its heartbeats that the sums include.
-	Summed bool          `cbor:"1,keyasint,omitempty"`
-	Zone   bool          `cbor:"2,keyasint,omitempty"`
-	Loads  EncodedLoads  `cbor:"3,keyasint,omitempty"`
-	Echo   time.Duration `cbor:"8,keyasint,omitempty"`
+	Summed         bool          `cbor:"1,keyasint,omitempty"`
+	Zone           bool          `cbor:"2,keyasint,omitempty"`
+	Loads          EncodedLoads  `cbor:"3,keyasint,omitempty"`
+	ReceiverUptime time.Duration `cbor:"8,keyasint,omitempty"`
 	// Observations are states of siblings. They are the changes of the hub's change log
 	// after number After up to number Upto. If Upto is 0, they are independent of it.
 	Observations []Observation `cbor:"4,keyasint,omitempty"`
 	After        uint64        `cbor:"5,keyasint,omitempty"`
-	Upto         uint64        `cbor:"6,keyasint,omitempty"`
+	To           uint64        `cbor:"6,keyasint,omitempty"`
 	// Teams holds the balances and usage totals, as the hub knows them, of teams with recent
 	// usage.
 	Teams []allotment.Balance `cbor:"9,keyasint,omitempty"`
@@ -139,8 +139,8 @@
 	Changes []registry.Change `cbor:"3,keyasint"`
 	// Age is the time since the store returned the changes.
 	Age time.Duration `cbor:"4,keyasint"`
-	// Of, if not 0, is the fingerprint of the subset of servers that the changes are limited to.
-	Of uint64 `cbor:"5,keyasint,omitempty"`
+	// SubsetFingerprint, if not 0, is the fingerprint of the subset of servers that the changes are limited to.
+	SubsetFingerprint uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Evacuation lists the availability zones whose backend servers must get no more requests.
@@ -151,8 +151,8 @@
 	Zones []string `cbor:"2,keyasint,omitempty"`
 }
 
-// Change is a role change of a server that is in progress.
-type Change struct {
+// RoleChange is a role change of a server that is in progress.
+type RoleChange struct {
 	Server uint32 `cbor:"1,keyasint"`
 	// Left is the time until the change is complete.
 	Left time.Duration `cbor:"2,keyasint"`
--- a/instance/cells.go
+++ b/instance/cells.go
@@ -53,8 +53,8 @@
 	if i.Cell() == "" && !listed && i.Uptime() < selfListedTimeout {
 		return
 	}
-	next := &cellLayout{cell: cell.Whole, regionSize: region}
-	if region > i.config.Cell.Most {
+	next := &cellLayout{cell: cell.Undivided, regionSize: region}
+	if region > i.config.Cell.MaxUndivided {
 		next.zoneCells = i.config.Cell.Count(len(own))
 		next.cell = cell.Of(i.self.Name, i.config.Zone, next.zoneCells)
 	}
--- a/instance/config.go
+++ b/instance/config.go
@@ -34,49 +34,49 @@
 	// Lease applies to the lease on orders to engines.
 	Lease   lease.Config
 	Request request.Config
-	// KeepAnswer is how long a caller may keep an address from an entry answer.
+	// EntryTTL is how long a caller may keep an address from an entry answer.
 	// A shorter time spreads load and drains faster. A longer time causes fewer
 	// queries.
-	KeepAnswer time.Duration
-	// OperationLife is how long a new operation id is valid. It bounds the
+	EntryTTL time.Duration
+	// OperationIDTTL is how long a new operation id is valid. It bounds the
 	// number of records that the home and the witness keep.
-	OperationLife time.Duration
+	OperationIDTTL time.Duration
 	// StaleAfter is how long the instance accepts new callers without contact
 	// with the log or a sibling. It bounds how long an outdated table is used.
 	StaleAfter time.Duration
-	// SettleAfter is how long an instance runs before its address is given to
+	// MinUptimeForEntry is how long an instance runs before its address is given to
 	// callers: the delay of the instance list plus a heartbeat. With a shorter
 	// time its address is given out before the instance knows every witness,
 	// and calls are refused. With a longer time the instance stays idle.
-	SettleAfter time.Duration
+	MinUptimeForEntry time.Duration
 	// LoadEvery is the period in which a steward queries its engines for their
 	// load.
 	LoadEvery time.Duration
 	// ListEvery is the period in which the instance list is read.
 	ListEvery time.Duration
-	// MostOperations is the maximum number of operation records, for the home
+	// MaxOperations is the maximum number of operation records, for the home
 	// and for the witness each.
-	MostOperations int
-	// MostTraces is the maximum number of requests kept for operators.
-	MostTraces int
+	MaxOperations int
+	// MaxTraces is the maximum number of requests kept for operators.
+	MaxTraces int
 }
 
 // DefaultRegion returns settings for a region whose instances are a few
 // milliseconds apart.
 func DefaultRegion() Config {
 	return Config{
-		Member:         member.DefaultRegion(),
-		Cell:           cell.DefaultConfig(),
-		Lease:          lease.DefaultConfig(),
-		Request:        request.DefaultConfig(),
-		KeepAnswer:     5 * time.Second,
-		OperationLife:  2 * time.Minute,
-		StaleAfter:     8 * time.Second,
-		SettleAfter:    3 * time.Second,
-		LoadEvery:      100 * time.Millisecond,
-		ListEvery:      time.Second,
-		MostOperations: 100_000,
-		MostTraces:     2000,
+		Member:            member.DefaultRegion(),
+		Cell:              cell.DefaultConfig(),
+		Lease:             lease.DefaultConfig(),
+		Request:           request.DefaultConfig(),
+		EntryTTL:          5 * time.Second,
+		OperationIDTTL:    2 * time.Minute,
+		StaleAfter:        8 * time.Second,
+		MinUptimeForEntry: 3 * time.Second,
+		LoadEvery:         100 * time.Millisecond,
+		ListEvery:         time.Second,
+		MaxOperations:     100_000,
+		MaxTraces:         2000,
 	}
 }
 
--- a/instance/entry.go
+++ b/instance/entry.go
@@ -37,19 +37,19 @@
 	ExpiresSeconds int `json:"expires_seconds"`
 }
 
-// Entry selects an instance for a caller. It prefers live instances in the
+// SelectEntry selects an instance for a caller. It prefers live instances in the
 // caller's availability zone, draws two at random and selects the one with
 // fewer requests in flight. The caller could not reach the instance to avoid,
 // which may be dead but not yet suspected. ok is false if there is no instance
 // to select.
-func (i *Instance) Entry(zone, avoid string) (entry Entry, ok bool) {
+func (i *Instance) SelectEntry(zone, avoid string) (entry Entry, ok bool) {
 	info, ok := i.selectEntry(zone, avoid)
 	if !ok {
 		return Entry{}, false
 	}
 	entry = Entry{
 		Address: info.Caller, Instance: info.Name, Zone: info.Zone,
-		KeepSeconds: int(i.config.KeepAnswer / time.Second),
+		KeepSeconds: int(i.config.EntryTTL / time.Second),
 	}
 	witness, found := i.selectWitness(info)
 	if !found {
@@ -58,12 +58,12 @@
 	id := operation.ID{
 		Home:          info.Member(),
 		Witness:       witness.Member(),
-		HomeExpiry:    info.Uptime + i.config.OperationLife,
-		WitnessExpiry: witness.Uptime + i.config.OperationLife,
+		HomeExpiry:    info.Uptime + i.config.OperationIDTTL,
+		WitnessExpiry: witness.Uptime + i.config.OperationIDTTL,
 	}
 	entry.Operation = &EntryOperation{
 		Prefix: id.Prefix(), Witness: witness.Caller,
-		ExpiresSeconds: int(i.config.OperationLife / time.Second),
+		ExpiresSeconds: int(i.config.OperationIDTTL / time.Second),
 	}
 	return entry, true
 }
@@ -82,7 +82,7 @@
 			infos = append(infos, sibling.Info)
 		}
 	}
-	return prefer(infos, func(info member.Info) bool { return info.Uptime > i.config.SettleAfter })
+	return prefer(infos, func(info member.Info) bool { return info.Uptime > i.config.MinUptimeForEntry })
 }
 
 // prefer returns the infos that match, or all of them if none does.
@@ -126,18 +126,18 @@
 	return infos[int(i.deps.Random()*float64(len(infos)))]
 }
 
-// AskOperation returns the status of an operation for a caller. At the
+// OperationStatus returns the status of an operation for a caller. At the
 // operation's home or witness it answers from the local records. Elsewhere it
 // queries the home and, if the home does not answer, the witness.
-func (i *Instance) AskOperation(ctx context.Context, id operation.ID) operation.Status {
+func (i *Instance) OperationStatus(ctx context.Context, id operation.ID) operation.Status {
 	if id.Home == i.self {
-		return i.operations.Ask(id, i.Uptime())
+		return i.operations.Query(id, i.Uptime())
 	}
 	if status, ok := i.queryMember(ctx, id.Home, id); ok {
 		return status
 	}
 	if id.Witness == i.self {
-		return i.Witnessed(id)
+		return i.WitnessStatus(id)
 	}
 	if status, ok := i.queryMember(ctx, id.Witness, id); ok {
 		return status
@@ -145,10 +145,10 @@
 	return operation.Status{Outcome: reason.Unknown, Reason: reason.NoWitness}
 }
 
-// Witnessed returns the status that the witness records alone give an
+// WitnessStatus returns the status that the witness records alone give an
 // operation, as when the home is unreachable.
-func (i *Instance) Witnessed(id operation.ID) operation.Status {
-	return i.witness.Ask(id, i.Uptime())
+func (i *Instance) WitnessStatus(id operation.ID) operation.Status {
+	return i.witness.Query(id, i.Uptime())
 }
 
 func (i *Instance) queryMember(ctx context.Context, target operation.Member, id operation.ID) (operation.Status, bool) {
@@ -158,7 +158,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, i.config.Request.ReserveTimeout)
 	defer cancel()
-	query := &peer.Message{AskOperation: &peer.AskOperation{Operation: id.String()}}
+	query := &peer.Message{AskOperation: &peer.OperationRequest{Operation: id.String()}}
 	answer, err := i.deps.Peers.Call(ctx, sibling.Peer, query)
 	if err != nil || answer.OperationAnswer == nil {
 		return operation.Status{}, false
@@ -180,7 +180,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
-	query := &peer.Message{AskTrace: &peer.AskTrace{RequestID: requestID}}
+	query := &peer.Message{AskTrace: &peer.TraceRequest{RequestID: requestID}}
 	answer, err := i.deps.Peers.Call(ctx, sibling.Peer, query)
 	if err != nil || answer.TraceAnswer == nil {
 		return nil
--- a/instance/golden_test.go
+++ b/instance/golden_test.go
@@ -175,7 +175,7 @@
 	runSession(t, func(s *session) {
 		home, witness := s.nodes["sabana-1"], s.nodes["heredia-1"]
 		id := s.newOperationID(home, witness, "n1")
-		s.recordf("outcome of n1 asked at its witness alone: %s", witness.Witnessed(id).Outcome)
+		s.recordf("outcome of n1 asked at its witness alone: %s", witness.WitnessStatus(id).Outcome)
 		s.callHold(home, id)
 		s.callHold(home, id)
 	})
@@ -218,14 +218,14 @@
 	runSession(t, func(s *session) {
 		home, sibling := s.nodes["sabana-1"], s.nodes["heredia-1"]
 		done := make(chan struct{})
-		endRequest := home.Enter()
+		endRequest := home.BeginRequest()
 		go func() {
 			defer close(done)
 			home.Drain(s.ctx)
 			s.recordf("sabana-1 has drained")
 		}()
 		time.Sleep(time.Second)
-		entry, _ := sibling.Entry("sabana", "")
+		entry, _ := sibling.SelectEntry("sabana", "")
 		s.recordf("a caller in sabana is sent to %s", entry.Instance)
 		s.sendModelRequest(s.ctx, home, prompt(2400), 800, nil)
 		endRequest()
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -43,7 +43,7 @@
 	heldTimes  heldTimes
 	cells      cells
 	orders     orders
-	// ordersToken and ordersUntil publish the lease for HoldsOrders.
+	// ordersToken and ordersUntil publish the lease for HoldsOrdersLease.
 	ordersToken atomic.Uint64
 	ordersUntil atomic.Int64
 
@@ -73,13 +73,13 @@
 		self:       self,
 		started:    now,
 		Metrics:    metrics.New(),
-		Traces:     trace.NewRing(config.MostTraces),
+		Traces:     trace.NewRing(config.MaxTraces),
 		members:    member.New(self, config.Member),
 		fleet:      fleet,
 		admission:  route.NewAdmission(),
 		steward:    route.NewSteward(),
-		operations: operation.NewHome(self, config.MostOperations),
-		witness:    operation.NewWitness(self, config.MostOperations),
+		operations: operation.NewHome(self, config.MaxOperations),
+		witness:    operation.NewWitness(self, config.MaxOperations),
 		tables:     newTableState(fleet),
 	}
 	i.cells.layout.Store(&cellLayout{})
@@ -139,8 +139,8 @@
 	return i.self.String() + "." + strconv.FormatUint(i.sequence.Add(1), 36)
 }
 
-// Enter counts a request in flight until the returned function is called.
-func (i *Instance) Enter() (leave func()) {
+// BeginRequest counts a request in flight until the returned function is called.
+func (i *Instance) BeginRequest() (leave func()) {
 	i.inFlight.Add(1)
 	return func() { i.inFlight.Add(-1) }
 }
@@ -219,7 +219,7 @@
 	if !i.config.Request.Protect.Drain {
 		return
 	}
-	wait.For(ctx, i.config.KeepAnswer+i.config.Member.SuspectAfter)
+	wait.For(ctx, i.config.EntryTTL+i.config.Member.SuspectAfter)
 	for i.InFlight() > 0 && wait.For(ctx, drainPoll) {
 	}
 	i.Runner.Wait()
--- a/instance/keeper.go
+++ b/instance/keeper.go
@@ -87,7 +87,7 @@
 func (s *tableState) History() (verdicts []table.Verdict, bad int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fold.History(), s.fold.Bad()
+	return s.fold.History(), s.fold.BadRecords()
 }
 
 // dueSnapshot returns a snapshot record that the log lacks, or nil.
@@ -290,7 +290,7 @@
 
 // catchUp requests the records that this instance lacks from a sibling.
 func (i *Instance) catchUp(ctx context.Context, address string) error {
-	query := &peer.Message{AskRecords: &peer.AskRecords{From: i.tables.Next()}}
+	query := &peer.Message{AskRecords: &peer.RecordsRequest{From: i.tables.Next()}}
 	answer, err := i.deps.Peers.Call(ctx, address, query)
 	if err != nil {
 		return err
--- a/instance/loads.go
+++ b/instance/loads.go
@@ -72,7 +72,7 @@
 		}
 		load := peer.ServerLoad{
 			ID: route.ServerID(name), WaitingTokens: i.steward.Ahead(name, clock.Now()), Running: report.Running,
-			FreePieces: report.FreePieces, Leaving: report.Leaving,
+			FreePieces: report.FreePieces, Draining: report.Leaving,
 		}
 		if changes := i.caches.unsent[name]; changes != nil {
 			load.Cached, load.Dropped = changes.Cached, changes.Dropped
@@ -93,7 +93,7 @@
 		}
 		server.Observe(&route.Report{
 			At: now, WaitingTokens: load.WaitingTokens, Running: load.Running,
-			FreePieces: load.FreePieces, Leaving: load.Leaving,
+			FreePieces: load.FreePieces, Leaving: load.Draining,
 		})
 		for _, prefix := range load.Dropped {
 			server.Prefixes.Remove(prefix)
--- a/instance/orders.go
+++ b/instance/orders.go
@@ -144,8 +144,8 @@
 	klog.InfoS("Ordered an engine to load weights", "server", backend.Name, "weights", backend.Weights, "token", token)
 }
 
-// HoldsOrders reports whether this instance may send orders to engines now, and
+// HoldsOrdersLease reports whether this instance may send orders to engines now, and
 // returns its fencing token.
-func (i *Instance) HoldsOrders() (token uint64, ok bool) {
+func (i *Instance) HoldsOrdersLease() (token uint64, ok bool) {
 	return i.ordersToken.Load(), i.ordersUntil.Load() > clock.Now().UnixNano()
 }
--- a/instance/orders_test.go
+++ b/instance/orders_test.go
@@ -35,7 +35,7 @@
 func (s *session) leaseHolders() (holding []*node) {
 	for _, name := range []string{"sabana-1", "heredia-1"} {
 		if n, runs := s.nodes[name]; runs {
-			if _, ok := n.HoldsOrders(); ok {
+			if _, ok := n.HoldsOrdersLease(); ok {
 				holding = append(holding, n)
 			}
 		}
--- a/instance/orphans.go
+++ b/instance/orphans.go
@@ -54,7 +54,7 @@
 // cancelAbandoned queries a live home about requests that an engine has held
 // for orphanGrace, and cancels those that the home reports as ended.
 func (i *Instance) cancelAbandoned(ctx context.Context, backend *table.BackendView, home operation.Member, requests []engine.Held) {
-	query := &peer.AskClaims{Home: home}
+	query := &peer.ClaimsRequest{Home: home}
 	byClaim := make(map[peer.Claim]engine.Held, len(requests))
 	for _, h := range requests {
 		claim := peer.Claim{RequestID: h.RequestID, Attempt: h.Number}
@@ -68,7 +68,7 @@
 	}
 }
 
-func (i *Instance) queryClaims(ctx context.Context, query *peer.AskClaims) []peer.Claim {
+func (i *Instance) queryClaims(ctx context.Context, query *peer.ClaimsRequest) []peer.Claim {
 	if query.Home == i.self {
 		return i.abandonedClaims(query).Abandoned
 	}
@@ -84,7 +84,7 @@
 }
 
 // abandonedClaims returns the attempts of a query that have ended.
-func (i *Instance) abandonedClaims(query *peer.AskClaims) *peer.Claims {
+func (i *Instance) abandonedClaims(query *peer.ClaimsRequest) *peer.Claims {
 	claims := &peer.Claims{Home: i.self}
 	if query.Home != i.self {
 		return claims
--- a/instance/pairs_test.go
+++ b/instance/pairs_test.go
@@ -111,10 +111,10 @@
 			time.Sleep(time.Duration(50+100*n) * time.Millisecond)
 			queried := p.bystander
 			if n%2 == 0 && witness.lifeline.Context().Err() == nil {
-				p.recordOutcome(id, witness.Witnessed(id).Outcome)
+				p.recordOutcome(id, witness.WitnessStatus(id).Outcome)
 				continue
 			}
-			p.recordOutcome(id, queried.AskOperation(p.ctx, id).Outcome)
+			p.recordOutcome(id, queried.OperationStatus(p.ctx, id).Outcome)
 		}
 	})
 }
--- a/instance/session_test.go
+++ b/instance/session_test.go
@@ -179,7 +179,7 @@
 
 // queryOutcome queries an instance for the outcome of an operation.
 func (s *session) queryOutcome(at *node, id operation.ID) {
-	status := at.AskOperation(s.ctx, id)
+	status := at.OperationStatus(s.ctx, id)
 	s.recordf("outcome of %s asked at %s: %s %s (running %v)", id.Nonce, at.Self().Name, status.Outcome, status.Reason, status.Running)
 }
 
--- a/instance/siblings.go
+++ b/instance/siblings.go
@@ -46,20 +46,20 @@
 	i.updateLayout(own, i.regionSize(len(own)))
 	listed := make(map[string]bool, len(own))
 	for _, entry := range own {
-		listed[entry.Name] = entry.State == instancelist.Leaving
+		listed[entry.Name] = entry.State == instancelist.Draining
 		if i.inCell(entry.Name) {
 			i.contact(entry)
 		}
 	}
 	for _, entries := range i.cells.otherZones {
 		for _, entry := range entries {
-			listed[entry.Name] = entry.State == instancelist.Leaving
-			if i.Cell() == cell.Whole {
+			listed[entry.Name] = entry.State == instancelist.Draining
+			if i.Cell() == cell.Undivided {
 				i.contact(entry)
 			}
 		}
 	}
-	i.members.Listed(listed, clock.Now())
+	i.members.ApplyInstanceList(listed, clock.Now())
 }
 
 // assumeSingleCell treats the region as one cell if the list has not answered
@@ -129,7 +129,7 @@
 func (i *Instance) querySuspect(ctx context.Context, suspect operation.Member) {
 	ctx, cancel := context.WithTimeout(ctx, i.config.Member.HeartbeatEvery)
 	defer cancel()
-	query := &peer.Message{AskHeard: &peer.AskHeard{Member: suspect}}
+	query := &peer.Message{AskHeard: &peer.LastContactRequest{Member: suspect}}
 	for n, sibling := range i.members.View().Serving() {
 		if n == maxSuspectQueries {
 			return
@@ -153,7 +153,7 @@
 		return &peer.Message{Reserved: i.handleReserve(message.Reserve)}
 	case message.Release != nil:
 		key := route.ReservationKey{RequestID: message.Release.RequestID, Attempt: message.Release.Attempt}
-		i.steward.Release(message.Release.Worker, key, clock.Now())
+		i.steward.Release(message.Release.Server, key, clock.Now())
 		return nil
 	case message.Intent != nil:
 		return &peer.Message{IntentAnswer: i.handleIntent(message.Intent)}
@@ -168,7 +168,7 @@
 		return &peer.Message{TraceAnswer: i.localTrace(message.AskTrace.RequestID)}
 	case message.AskHeard != nil:
 		silence, known := i.members.View().Silence(message.AskHeard.Member, clock.Now())
-		return &peer.Message{Heard: &peer.Heard{Known: known, Silence: silence}}
+		return &peer.Message{Heard: &peer.LastContact{Known: known, Silence: silence}}
 	case message.AskClaims != nil:
 		return &peer.Message{Claims: i.abandonedClaims(message.AskClaims)}
 	case message.AskRecords != nil:
@@ -181,7 +181,7 @@
 func (i *Instance) handleHeartbeat(ctx context.Context, message *peer.Heartbeat) {
 	now := clock.Now()
 	before, _ := i.members.View().Find(message.Info.Name)
-	if !i.members.Heard(message.Info, now) {
+	if !i.members.ApplyHeartbeat(message.Info, now) {
 		return
 	}
 	sibling, _ := i.members.View().Find(message.Info.Name)
@@ -210,15 +210,15 @@
 	return &peer.IntentAnswer{Refused: i.witness.Intent(id, i.Uptime())}
 }
 
-func (i *Instance) handleOperationQuery(query *peer.AskOperation) *peer.OperationAnswer {
+func (i *Instance) handleOperationQuery(query *peer.OperationRequest) *peer.OperationAnswer {
 	id, err := operation.ParseID(query.Operation)
 	if err != nil {
 		return &peer.OperationAnswer{Status: operation.Status{Outcome: reason.Unknown, Reason: reason.Malformed}}
 	}
 	if id.Home == i.self {
-		return &peer.OperationAnswer{Status: i.operations.Ask(id, i.Uptime())}
+		return &peer.OperationAnswer{Status: i.operations.Query(id, i.Uptime())}
 	}
-	return &peer.OperationAnswer{Status: i.witness.Ask(id, i.Uptime())}
+	return &peer.OperationAnswer{Status: i.witness.Query(id, i.Uptime())}
 }
 
 func (i *Instance) localTrace(requestID string) *peer.TraceAnswer {
--- a/instance/stewards.go
+++ b/instance/stewards.go
@@ -26,8 +26,8 @@
 		return route.Grant{Refused: reason.StewardUnreached}
 	}
 	answer, err := s.deps.Peers.Call(ctx, sibling.Peer, &peer.Message{Reserve: &peer.Reserve{
-		Worker: server, RequestID: request.RequestID, Attempt: request.Attempt, Pieces: request.Pieces, TTL: request.TTL,
-		LandIn: request.ArrivesIn, HoldFor: request.HoldFor, Headroom: request.Headroom, Tokens: request.Tokens, MostAhead: request.MaxTokensAhead,
+		Server: server, RequestID: request.RequestID, Attempt: request.Attempt, Pieces: request.Pieces, TTL: request.TTL,
+		ArrivesIn: request.ArrivesIn, HoldFor: request.HoldFor, Headroom: request.Headroom, Tokens: request.Tokens, MaxTokensAhead: request.MaxTokensAhead,
 	}})
 	if err != nil || answer.Reserved == nil {
 		return route.Grant{Refused: reason.StewardUnreached}
@@ -44,15 +44,15 @@
 	}
 	if sibling, known := s.members.View().Find(owner); known {
 		s.deps.Peers.Send(sibling.Peer, &peer.Message{Release: &peer.Release{
-			Worker: server, RequestID: key.RequestID, Attempt: key.Attempt,
+			Server: server, RequestID: key.RequestID, Attempt: key.Attempt,
 		}})
 	}
 }
 
 func (i *Instance) handleReserve(request *peer.Reserve) *peer.Reserved {
-	grant := i.steward.Reserve(request.Worker, route.Demand{
+	grant := i.steward.Reserve(request.Server, route.Demand{
 		ReservationKey: route.ReservationKey{RequestID: request.RequestID, Attempt: request.Attempt}, Pieces: request.Pieces, TTL: request.TTL,
-		ArrivesIn: request.LandIn, HoldFor: request.HoldFor, Headroom: request.Headroom, Tokens: request.Tokens, MaxTokensAhead: request.MostAhead,
+		ArrivesIn: request.ArrivesIn, HoldFor: request.HoldFor, Headroom: request.Headroom, Tokens: request.Tokens, MaxTokensAhead: request.MaxTokensAhead,
 	}, clock.Now())
 	return &peer.Reserved{Refused: grant.Refused, Free: grant.Free, Ahead: grant.Ahead}
 }
--- a/instance/unknowns_test.go
+++ b/instance/unknowns_test.go
@@ -90,7 +90,7 @@
 	}
 	if outcome == reason.Unknown && witnessed {
 		time.Sleep(time.Second)
-		outcome = witness.Witnessed(id).Outcome
+		outcome = witness.WitnessStatus(id).Outcome
 	}
 	return outcome
 }
--- a/instancelist/instancelist.go
+++ b/instancelist/instancelist.go
@@ -8,8 +8,8 @@
 type State string
 
 const (
-	Live    State = "live"
-	Leaving State = "leaving"
+	Live     State = "live"
+	Draining State = "leaving"
 )
 
 // Entry is one instance in the list.
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -32,9 +32,9 @@
 	Era uint64 `json:"era,omitempty"`
 }
 
-// Follow returns the state after a claim at a log offset, and whether the
+// Apply returns the state after a claim at a log offset, and whether the
 // claim counted.
-func (s State) Follow(claim Claim, offset uint64) (State, bool) {
+func (s State) Apply(claim Claim, offset uint64) (State, bool) {
 	if claim.Holder == "" || claim.After != s.Token {
 		return s, false
 	}
@@ -54,15 +54,15 @@
 	// after it a challenger begins. It allows for clocks that run at different
 	// speeds, and for an order that is in flight.
 	Margin time.Duration
-	// Courtesy is how much longer all candidates but the first in line wait before
+	// ChallengeDelay is how much longer all candidates but the first in line wait before
 	// they challenge.
-	Courtesy time.Duration
+	ChallengeDelay time.Duration
 }
 
 // DefaultConfig returns a configuration that costs one append every eight seconds per
 // lease.
 func DefaultConfig() Config {
-	return Config{TTL: 20 * time.Second, RenewEvery: 8 * time.Second, Margin: 3 * time.Second, Courtesy: 5 * time.Second}
+	return Config{TTL: 20 * time.Second, RenewEvery: 8 * time.Second, Margin: 3 * time.Second, ChallengeDelay: 5 * time.Second}
 }
 
 // Candidate is one instance's participation in one lease.
@@ -155,7 +155,7 @@
 	}
 	wait := c.config.TTL + c.config.Margin
 	if !first {
-		wait += c.config.Courtesy
+		wait += c.config.ChallengeDelay
 	}
 	return now.Sub(c.changedAt) >= wait
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -90,7 +90,7 @@
 			continue
 		}
 		c.offset++
-		if next, counted := c.state.Follow(f.claim, c.offset); counted {
+		if next, counted := c.state.Apply(f.claim, c.offset); counted {
 			c.state = next
 			c.history = append(c.history, timedState{now, next})
 		}
@@ -108,7 +108,7 @@
 	if !ok {
 		t.Fatal("the first in line did not claim")
 	}
-	state, _ := State{}.Follow(claim, 7)
+	state, _ := State{}.Apply(claim, 7)
 	first.Observe(state, start)
 	next.Observe(state, start)
 	if token, ok := first.Valid(start); !ok || token != 7 {
--- a/member/listing.go
+++ b/member/listing.go
@@ -26,9 +26,9 @@
 	return l.received && !shows && (ever || introduced)
 }
 
-// Listed applies the platform's instance list: the names on it, each with true if the
+// ApplyInstanceList applies the platform's instance list: the names on it, each with true if the
 // instance is leaving.
-func (m *Members) Listed(names map[string]bool, now time.Time) {
+func (m *Members) ApplyInstanceList(names map[string]bool, now time.Time) {
 	m.mu.Lock()
 	for name := range m.listed.shown {
 		m.listed.shown[name] = false
--- a/member/member.go
+++ b/member/member.go
@@ -99,9 +99,9 @@
 	// Capacity is the processor time that the instance may use, in thousandths of a
 	// core. It is 0 if the instance does not report it.
 	Capacity int `cbor:"12,keyasint,omitempty" json:"capacity,omitempty"`
-	// Part is set if the instance knows only a subset of the backend servers on the
+	// UsesSubset is set if the instance knows only a subset of the backend servers on the
 	// list.
-	Part bool `cbor:"13,keyasint,omitempty" json:"part,omitempty"`
+	UsesSubset bool `cbor:"13,keyasint,omitempty" json:"part,omitempty"`
 }
 
 // Member returns the identity of this run of the instance.
@@ -119,10 +119,10 @@
 type Sibling struct {
 	Info
 	State State `json:"state"`
-	// Heard is when its last heartbeat arrived at this instance, and HeardAnywhere the
+	// LastContact is when its last heartbeat arrived at this instance, and LastContactAnywhere the
 	// latest time of contact that any sibling reports.
-	Heard         time.Time `json:"heard"`
-	HeardAnywhere time.Time `json:"heard_anywhere"`
+	LastContact         time.Time `json:"heard"`
+	LastContactAnywhere time.Time `json:"heard_anywhere"`
 	// Reported is the state last reported by an instance that receives its heartbeats
 	// directly. It is empty if there was no report.
 	Reported State `json:"reported,omitempty"`
@@ -210,10 +210,10 @@
 	m.config.SuspectAfter = silence
 }
 
-// Heard applies a heartbeat, and returns whether it was accepted. It rejects a
+// ApplyHeartbeat applies a heartbeat, and returns whether it was accepted. It rejects a
 // heartbeat of an earlier incarnation, one that is older than the last of the same run,
 // and one that leaves out the addresses of a run that is not known yet.
-func (m *Members) Heard(info Info, now time.Time) bool {
+func (m *Members) ApplyHeartbeat(info Info, now time.Time) bool {
 	if info.Name == m.self.Name {
 		return false
 	}
@@ -233,7 +233,7 @@
 		}
 		info.Zone, info.Caller, info.Peer = known.Zone, known.Caller, known.Peer
 	}
-	sibling := Sibling{Info: info, Heard: now, HeardAnywhere: now, Observed: now}
+	sibling := Sibling{Info: info, LastContact: now, LastContactAnywhere: now, Observed: now}
 	if sameRun {
 		sibling.Reported, sibling.reportObserved = known.Reported, known.reportObserved
 	}
@@ -251,7 +251,7 @@
 	m.markChanged()
 }
 
-// confirmationStep is the resolution of HeardAnywhere for members whose state others
+// confirmationStep is the resolution of LastContactAnywhere for members whose state others
 // report. With an exact time, each Tick would replace all of them.
 const confirmationStep = time.Second
 
@@ -261,10 +261,10 @@
 	defer m.mu.Unlock()
 	for name, known := range m.siblings {
 		sibling := *known
-		if (sibling.Reported == Alive || sibling.Reported == Leaving) && m.reportsConfirmed.Sub(sibling.HeardAnywhere) >= confirmationStep {
-			sibling.HeardAnywhere = m.reportsConfirmed
+		if (sibling.Reported == Alive || sibling.Reported == Leaving) && m.reportsConfirmed.Sub(sibling.LastContactAnywhere) >= confirmationStep {
+			sibling.LastContactAnywhere = m.reportsConfirmed
 		}
-		if now.Sub(sibling.HeardAnywhere) > m.config.ForgetAfter {
+		if now.Sub(sibling.LastContactAnywhere) > m.config.ForgetAfter {
 			delete(m.siblings, name)
 			m.names = nil
 			m.markChanged()
@@ -290,7 +290,7 @@
 	switch {
 	case m.isDead(s, now):
 		return Dead
-	case now.Sub(s.Heard) > m.config.SuspectAfter && now.Sub(s.Vouched) > m.config.SuspectAfter:
+	case now.Sub(s.LastContact) > m.config.SuspectAfter && now.Sub(s.Vouched) > m.config.SuspectAfter:
 		if m.judgedDirectly(s) {
 			return Suspect
 		}
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -30,8 +30,8 @@
 func TestSuspicionBeforeDeath(t *testing.T) {
 	Convey("Given a member that has sent a heartbeat and is on the list", t, func() {
 		m := newMembers()
-		m.Listed(map[string]bool{"other": false}, start)
-		m.Heard(heartbeat(other, time.Second), start)
+		m.ApplyInstanceList(map[string]bool{"other": false}, start)
+		m.ApplyHeartbeat(heartbeat(other, time.Second), start)
 		So(stateOf(m, "other"), ShouldEqual, Alive)
 
 		Convey("silence makes it suspect, and not dead while the list shows it", func() {
@@ -42,12 +42,12 @@
 			So(m.View().IsDead(other), ShouldBeFalse)
 		})
 		Convey("silence makes it dead once the list no longer shows it", func() {
-			m.Listed(nil, start.Add(6*time.Second))
+			m.ApplyInstanceList(nil, start.Add(6*time.Second))
 			So(m.View().IsDead(other), ShouldBeTrue)
 		})
 		Convey("a sibling's report of contact keeps it from being dead, but not from being suspect", func() {
 			m.Vouch(other, start.Add(5*time.Second), start.Add(6*time.Second))
-			m.Listed(nil, start.Add(6*time.Second))
+			m.ApplyInstanceList(nil, start.Add(6*time.Second))
 			So(stateOf(m, "other"), ShouldEqual, Suspect)
 		})
 		Convey("silence for longer than AbandonAfter makes it dead even if the list shows it", func() {
@@ -56,13 +56,13 @@
 		})
 		Convey("a later run makes this one dead, and heartbeats of the old run change nothing", func() {
 			later := operation.Member{Name: "other", Incarnation: 6}
-			m.Heard(heartbeat(later, 0), start)
-			m.Heard(heartbeat(other, 2*time.Second), start)
+			m.ApplyHeartbeat(heartbeat(later, 0), start)
+			m.ApplyHeartbeat(heartbeat(other, 2*time.Second), start)
 			So(m.View().IsDead(other), ShouldBeTrue)
 			So(m.View().IsDead(later), ShouldBeFalse)
 		})
 		Convey("it is leaving once the list shows it as leaving", func() {
-			m.Listed(map[string]bool{"other": true}, start)
+			m.ApplyInstanceList(map[string]bool{"other": true}, start)
 			So(stateOf(m, "other"), ShouldEqual, Leaving)
 		})
 	})
@@ -76,13 +76,13 @@
 		m.Introduce(other, start)
 		m.Tick(start.Add(6 * time.Second))
 		So(m.View().IsDead(other), ShouldBeFalse)
-		m.Listed(nil, start.Add(6*time.Second))
+		m.ApplyInstanceList(nil, start.Add(6*time.Second))
 		So(m.View().IsDead(other), ShouldBeTrue)
 	})
 	Convey("A new member that is not on the list yet is not treated as gone", t, func() {
 		m := newMembers()
-		m.Listed(nil, start)
-		m.Heard(heartbeat(other, time.Second), start)
+		m.ApplyInstanceList(nil, start)
+		m.ApplyHeartbeat(heartbeat(other, time.Second), start)
 		m.Tick(start.Add(10 * time.Second))
 		So(m.View().IsDead(other), ShouldBeFalse)
 	})
--- a/member/reports.go
+++ b/member/reports.go
@@ -44,8 +44,8 @@
 	if observed.After(known.Observed) {
 		known.Observed = observed
 	}
-	if state != Dead && observed.After(known.HeardAnywhere) {
-		known.HeardAnywhere = observed
+	if state != Dead && observed.After(known.LastContactAnywhere) {
+		known.LastContactAnywhere = observed
 	}
 	known.State = m.stateAt(known, now)
 	m.put(known)
--- a/member/reports_test.go
+++ b/member/reports_test.go
@@ -41,7 +41,7 @@
 // when hubs take over.
 func TestReportsCountAfterDirectContact(t *testing.T) {
 	m := newMembers()
-	m.Heard(heartbeat(other, time.Second), start)
+	m.ApplyHeartbeat(heartbeat(other, time.Second), start)
 	m.Report(heartbeat(other, time.Second), Alive, start.Add(-10*time.Millisecond), start)
 	now := start.Add(time.Minute)
 	m.ConfirmReports(now)
--- a/member/suspicion.go
+++ b/member/suspicion.go
@@ -15,7 +15,7 @@
 
 // isDead reports whether a silent member counts as dead.
 func (m *Members) isDead(s Sibling, now time.Time) bool {
-	silence := now.Sub(s.HeardAnywhere)
+	silence := now.Sub(s.LastContactAnywhere)
 	if silence > m.config.AbandonAfter {
 		return true
 	}
@@ -23,7 +23,7 @@
 }
 
 // introduced reports whether the member is only known from others.
-func (s Sibling) introduced() bool { return s.Heard.IsZero() }
+func (s Sibling) introduced() bool { return s.LastContact.IsZero() }
 
 // Introduce adds a member that this instance has had no contact with, for example if an
 // engine holds a request whose home died before this instance started. The member
@@ -36,9 +36,9 @@
 		return
 	}
 	m.put(Sibling{
-		Info:          Info{Name: member.Name, Incarnation: member.Incarnation},
-		HeardAnywhere: now,
-		State:         Suspect,
+		Info:                Info{Name: member.Name, Incarnation: member.Incarnation},
+		LastContactAnywhere: now,
+		State:               Suspect,
 	})
 }
 
@@ -60,7 +60,7 @@
 	if !known || sibling.Incarnation != member.Incarnation {
 		return 0, false
 	}
-	return now.Sub(sibling.Heard), true
+	return now.Sub(sibling.LastContact), true
 }
 
 // Vouch applies a sibling's report of its last contact with a member.
@@ -68,11 +68,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := m.siblings[member.Name]
-	if known == nil || known.Incarnation != member.Incarnation || !heard.After(known.HeardAnywhere) {
+	if known == nil || known.Incarnation != member.Incarnation || !heard.After(known.LastContactAnywhere) {
 		return
 	}
 	sibling := *known
-	sibling.HeardAnywhere = heard
+	sibling.LastContactAnywhere = heard
 	sibling.State = m.stateAt(sibling, now)
 	m.put(sibling)
 }
--- a/member/view_test.go
+++ b/member/view_test.go
@@ -16,7 +16,7 @@
 		m := New(operation.Member{Name: "self", Incarnation: 1}, DefaultRegion())
 		now := time.Now()
 		for i := range 100 {
-			m.Heard(Info{Name: fmt.Sprint(i), Incarnation: 1, Peer: "p"}, now)
+			m.ApplyHeartbeat(Info{Name: fmt.Sprint(i), Incarnation: 1, Peer: "p"}, now)
 		}
 		var readers sync.WaitGroup
 		for range 4 {
--- a/operation/home.go
+++ b/operation/home.go
@@ -72,8 +72,8 @@
 	return Status{}, reason.None
 }
 
-// End records the outcome of an operation that Begin has opened.
-func (h *Home) End(id ID, status Status) {
+// Finish records the outcome of an operation that Begin has opened.
+func (h *Home) Finish(id ID, status Status) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	text := id.String()
@@ -83,9 +83,9 @@
 	h.records[text] = record
 }
 
-// Keep stores an answer whose caller disconnected before any byte of it was
+// StoreAnswer stores an answer whose caller disconnected before any byte of it was
 // written.
-func (h *Home) Keep(id ID, answer any) {
+func (h *Home) StoreAnswer(id ID, answer any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	text := id.String()
@@ -95,8 +95,8 @@
 	h.records[text] = record
 }
 
-// Take removes and returns an answer that Keep has stored.
-func (h *Home) Take(id ID) (answer any, ok bool) {
+// TakeAnswer removes and returns an answer that Keep has stored.
+func (h *Home) TakeAnswer(id ID) (answer any, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	text := id.String()
@@ -109,9 +109,9 @@
 	return answer, true
 }
 
-// Ask returns the status of an operation. An id that never began is closed
+// Query returns the status of an operation. An id that never began is closed
 // first, so that the answer "not run" stays true.
-func (h *Home) Ask(id ID, uptime time.Duration) Status {
+func (h *Home) Query(id ID, uptime time.Duration) Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	uptime = h.clock.advance(uptime)
--- a/operation/operation_test.go
+++ b/operation/operation_test.go
@@ -85,8 +85,8 @@
 			}
 		},
 		// The caller queries the home or the witness.
-		func(w *model) { w.recordReport(w.home.Ask(sampleID, w.uptime)) },
-		func(w *model) { w.recordReport(w.witness.Ask(sampleID, w.uptime)) },
+		func(w *model) { w.recordReport(w.home.Query(sampleID, w.uptime)) },
+		func(w *model) { w.recordReport(w.witness.Query(sampleID, w.uptime)) },
 		// The home or the witness is replaced by a new run.
 		func(w *model) {
 			w.home = NewHome(Member{homeMember.Name, w.home.self.Incarnation + 1}, 10)
@@ -151,7 +151,7 @@
 	Convey("A duplicate gets the outcome and does not run", t, func() {
 		home := NewHome(homeMember, 10)
 		home.Begin(sampleID, 0)
-		home.End(sampleID, Status{Outcome: reason.Done})
+		home.Finish(sampleID, Status{Outcome: reason.Done})
 		status, why := home.Begin(sampleID, time.Second)
 		So(why, ShouldEqual, reason.AlreadyAnswered)
 		So(status.Outcome, ShouldEqual, reason.Done)
--- a/operation/witness.go
+++ b/operation/witness.go
@@ -75,11 +75,11 @@
 	}
 }
 
-// Ask returns the status of an operation to a caller that can no longer reach the
+// Query returns the status of an operation to a caller that can no longer reach the
 // home. An id without an intent is closed first, so that the answer "not run"
 // stays true. After its expiry an id can no longer get an intent, but an earlier
 // one may have been dropped, so the outcome is unknown.
-func (w *Witness) Ask(id ID, uptime time.Duration) Status {
+func (w *Witness) Query(id ID, uptime time.Duration) Status {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	uptime = w.clock.advance(uptime)
--- a/oplog/position.go
+++ b/oplog/position.go
@@ -13,8 +13,8 @@
 // second for a hundred years. The other 24 bits allow 16 million eras.
 const offsetBits = 40
 
-// At returns the position of an offset in an era.
-func At(era, offset uint64) Position { return Position(era<<offsetBits | offset) }
+// NewPosition returns the position of an offset in an era.
+func NewPosition(era, offset uint64) Position { return Position(era<<offsetBits | offset) }
 
 // Era returns the era of the store that the position belongs to. It is 0 for a store
 // that reports no era.
--- a/peer/message.go
+++ b/peer/message.go
@@ -22,7 +22,7 @@
 	WaitingTokens int    `cbor:"2,keyasint,omitempty"`
 	Running       int    `cbor:"3,keyasint,omitempty"`
 	FreePieces    int    `cbor:"4,keyasint,omitempty"`
-	Leaving       bool   `cbor:"5,keyasint,omitempty"`
+	Draining      bool   `cbor:"5,keyasint,omitempty"`
 	// Cached and Dropped are the latest changes of a prefill engine's prefix
 	// cache, limited to what fits into the message.
 	Cached  []uint64 `cbor:"6,keyasint,omitempty"`
@@ -39,16 +39,16 @@
 // Reserve requests a reservation at a backend server from its steward; see
 // route.Demand.
 type Reserve struct {
-	Worker    string        `cbor:"1,keyasint"`
-	RequestID string        `cbor:"2,keyasint"`
-	Attempt   int           `cbor:"3,keyasint,omitempty"`
-	Pieces    int           `cbor:"5,keyasint,omitempty"`
-	TTL       time.Duration `cbor:"6,keyasint"`
-	LandIn    time.Duration `cbor:"7,keyasint,omitempty"`
-	HoldFor   time.Duration `cbor:"8,keyasint,omitempty"`
-	Headroom  int           `cbor:"9,keyasint,omitempty"`
-	Tokens    int           `cbor:"10,keyasint,omitempty"`
-	MostAhead int           `cbor:"11,keyasint,omitempty"`
+	Server         string        `cbor:"1,keyasint"`
+	RequestID      string        `cbor:"2,keyasint"`
+	Attempt        int           `cbor:"3,keyasint,omitempty"`
+	Pieces         int           `cbor:"5,keyasint,omitempty"`
+	TTL            time.Duration `cbor:"6,keyasint"`
+	ArrivesIn      time.Duration `cbor:"7,keyasint,omitempty"`
+	HoldFor        time.Duration `cbor:"8,keyasint,omitempty"`
+	Headroom       int           `cbor:"9,keyasint,omitempty"`
+	Tokens         int           `cbor:"10,keyasint,omitempty"`
+	MaxTokensAhead int           `cbor:"11,keyasint,omitempty"`
 }
 
 // Reserved answers Reserve. With an empty Refused the reservation is granted.
@@ -60,7 +60,7 @@
 
 // Release releases reserved memory.
 type Release struct {
-	Worker    string `cbor:"1,keyasint"`
+	Server    string `cbor:"1,keyasint"`
 	RequestID string `cbor:"2,keyasint"`
 	Attempt   int    `cbor:"3,keyasint"`
 }
@@ -81,8 +81,8 @@
 	Status    operation.Status `cbor:"2,keyasint"`
 }
 
-// AskOperation requests the status of an operation from its home or a witness.
-type AskOperation struct {
+// OperationRequest requests the status of an operation from its home or a witness.
+type OperationRequest struct {
 	Operation string `cbor:"1,keyasint"`
 }
 
@@ -91,8 +91,8 @@
 	Status operation.Status `cbor:"1,keyasint"`
 }
 
-// AskTrace requests the trace of a request, as JSON.
-type AskTrace struct {
+// TraceRequest requests the trace of a request, as JSON.
+type TraceRequest struct {
 	RequestID string `cbor:"1,keyasint"`
 }
 
@@ -101,8 +101,8 @@
 	JSON []byte `cbor:"1,keyasint,omitempty"`
 }
 
-// AskRecords requests log records from an offset on.
-type AskRecords struct {
+// RecordsRequest requests log records from an offset on.
+type RecordsRequest struct {
 	From uint64 `cbor:"1,keyasint"`
 }
 
@@ -116,13 +116,13 @@
 	Snapshot []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// AskHeard requests the time since the receiver's last contact with a member.
-type AskHeard struct {
+// LastContactRequest requests the time since the receiver's last contact with a member.
+type LastContactRequest struct {
 	Member operation.Member `cbor:"1,keyasint"`
 }
 
-// Heard answers AskHeard.
-type Heard struct {
+// LastContact answers AskHeard.
+type LastContact struct {
 	Known   bool          `cbor:"1,keyasint,omitempty"`
 	Silence time.Duration `cbor:"2,keyasint,omitempty"`
 }
@@ -133,8 +133,8 @@
 	Attempt   int    `cbor:"2,keyasint"`
 }
 
-// AskClaims asks a home which attempts of a list it still works on.
-type AskClaims struct {
+// ClaimsRequest asks a home which attempts of a list it still works on.
+type ClaimsRequest struct {
 	Home   operation.Member `cbor:"1,keyasint"`
 	Claims []Claim          `cbor:"2,keyasint"`
 }
@@ -150,32 +150,32 @@
 
 // Message is one message between siblings. Exactly one field is set.
 type Message struct {
-	Heartbeat       *Heartbeat       `cbor:"1,keyasint,omitempty"`
-	Reserve         *Reserve         `cbor:"2,keyasint,omitempty"`
-	Reserved        *Reserved        `cbor:"3,keyasint,omitempty"`
-	Release         *Release         `cbor:"4,keyasint,omitempty"`
-	Intent          *Intent          `cbor:"5,keyasint,omitempty"`
-	IntentAnswer    *IntentAnswer    `cbor:"6,keyasint,omitempty"`
-	Settle          *Settle          `cbor:"7,keyasint,omitempty"`
-	AskOperation    *AskOperation    `cbor:"8,keyasint,omitempty"`
-	OperationAnswer *OperationAnswer `cbor:"9,keyasint,omitempty"`
-	AskTrace        *AskTrace        `cbor:"10,keyasint,omitempty"`
-	TraceAnswer     *TraceAnswer     `cbor:"11,keyasint,omitempty"`
-	AskRecords      *AskRecords      `cbor:"12,keyasint,omitempty"`
-	Records         *Records         `cbor:"13,keyasint,omitempty"`
-	AskHeard        *AskHeard        `cbor:"14,keyasint,omitempty"`
-	Heard           *Heard           `cbor:"15,keyasint,omitempty"`
-	AskClaims       *AskClaims       `cbor:"16,keyasint,omitempty"`
-	Claims          *Claims          `cbor:"17,keyasint,omitempty"`
+	Heartbeat       *Heartbeat          `cbor:"1,keyasint,omitempty"`
+	Reserve         *Reserve            `cbor:"2,keyasint,omitempty"`
+	Reserved        *Reserved           `cbor:"3,keyasint,omitempty"`
+	Release         *Release            `cbor:"4,keyasint,omitempty"`
+	Intent          *Intent             `cbor:"5,keyasint,omitempty"`
+	IntentAnswer    *IntentAnswer       `cbor:"6,keyasint,omitempty"`
+	Settle          *Settle             `cbor:"7,keyasint,omitempty"`
+	AskOperation    *OperationRequest   `cbor:"8,keyasint,omitempty"`
+	OperationAnswer *OperationAnswer    `cbor:"9,keyasint,omitempty"`
+	AskTrace        *TraceRequest       `cbor:"10,keyasint,omitempty"`
+	TraceAnswer     *TraceAnswer        `cbor:"11,keyasint,omitempty"`
+	AskRecords      *RecordsRequest     `cbor:"12,keyasint,omitempty"`
+	Records         *Records            `cbor:"13,keyasint,omitempty"`
+	AskHeard        *LastContactRequest `cbor:"14,keyasint,omitempty"`
+	Heard           *LastContact        `cbor:"15,keyasint,omitempty"`
+	AskClaims       *ClaimsRequest      `cbor:"16,keyasint,omitempty"`
+	Claims          *Claims             `cbor:"17,keyasint,omitempty"`
 }
 
 // Handler answers messages from siblings. It returns nil when the message has
 // no answer or is of an unknown kind.
 type Handler func(ctx context.Context, message *Message) *Message
 
-// ErrUnreached means that no answer was received from a sibling. Whether the
+// ErrNoAnswer means that no answer was received from a sibling. Whether the
 // sibling received the request is not known.
-var ErrUnreached = errors.New("no answer from sibling")
+var ErrNoAnswer = errors.New("no answer from sibling")
 
 // Transport exchanges messages with siblings, addressed by "ip:port".
 type Transport interface {
--- a/peer/quic.go
+++ b/peer/quic.go
@@ -81,9 +81,9 @@
 
 func (q *QUIC) countRejected() { q.rejected.Add(1) }
 
-// Strangers returns the number of connections that were rejected because the
+// RejectedConnections returns the number of connections that were rejected because the
 // client had no valid certificate.
-func (q *QUIC) Strangers() int64 { return q.rejected.Load() }
+func (q *QUIC) RejectedConnections() int64 { return q.rejected.Load() }
 
 func quicConfig() *quic.Config {
 	return &quic.Config{
@@ -164,11 +164,11 @@
 func (q *QUIC) Call(ctx context.Context, address string, request *Message) (*Message, error) {
 	conn, err := q.connect(ctx, address)
 	if err != nil {
-		return nil, errors.Wrap(ErrUnreached, err.Error())
+		return nil, errors.Wrap(ErrNoAnswer, err.Error())
 	}
 	answer, err := exchange(ctx, conn, request)
 	if err != nil {
-		return nil, errors.Wrap(ErrUnreached, err.Error())
+		return nil, errors.Wrap(ErrNoAnswer, err.Error())
 	}
 	return answer, nil
 }
--- a/peer/quic_test.go
+++ b/peer/quic_test.go
@@ -54,7 +54,7 @@
 		s.heartbeats.Add(1)
 		return nil
 	}
-	return &Message{Reserved: &Reserved{Free: 1, Refused: reason.Reason(message.Reserve.Worker)}}
+	return &Message{Reserved: &Reserved{Free: 1, Refused: reason.Reason(message.Reserve.Server)}}
 }
 
 // eventually waits until holds returns true. The limit of 3000 checks, 10 ms
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	Convey("A request receives its answer", t, func() {
-		request := &Message{Reserve: &Reserve{Worker: "w", Pieces: 3}}
+		request := &Message{Reserve: &Reserve{Server: "w", Pieces: 3}}
 		answer, err := one.Call(ctx, other.Address(), request)
 		So(err, ShouldBeNil)
 		So(*answer.Reserved, ShouldResemble, Reserved{Free: 1, Refused: "w"})
@@ -130,7 +130,7 @@
 	if _, err := bare.Call(ctx, ours.Address(), &Message{Reserve: &Reserve{}}); err == nil {
 		t.Fatal("a client without a certificate received an answer")
 	}
-	eventually(t, "the rejected client is counted", func() bool { return ours.Strangers() == 1 })
+	eventually(t, "the rejected client is counted", func() bool { return ours.RejectedConnections() == 1 })
 }
 
 func TestClientWithKeyOfAnotherAuthorityIsRejected(t *testing.T) {
@@ -153,7 +153,7 @@
 	if _, err := impostor.Call(ctx, ours.Address(), &Message{Reserve: &Reserve{}}); err == nil {
 		t.Fatal("a client with a key of another authority received an answer")
 	}
-	eventually(t, "the rejected client is counted", func() bool { return ours.Strangers() == 1 })
+	eventually(t, "the rejected client is counted", func() bool { return ours.RejectedConnections() == 1 })
 }
 
 func TestKeysAreReplacedWhileRunning(t *testing.T) {
--- a/registry/model_test.go
+++ b/registry/model_test.go
@@ -31,7 +31,7 @@
 	return s.records[len(s.records)-1].Entry
 }
 
-func (s *modelStore) end() oplog.Position { return oplog.At(s.era, uint64(len(s.records))) }
+func (s *modelStore) end() oplog.Position { return oplog.NewPosition(s.era, uint64(len(s.records))) }
 
 // scenario is the state after some steps of one order.
 type scenario struct {
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -46,8 +46,8 @@
 }
 
 const (
-	// RunMark separates the server's id from the start time in the name of a run.
-	RunMark = "@"
+	// RunSeparator separates the server's id from the start time in the name of a run.
+	RunSeparator = "@"
 	// runBase is the number base of the start time in the name of a run. It keeps the
 	// name short.
 	runBase = 36
@@ -60,7 +60,7 @@
 	if e.Born == 0 {
 		return e.ID
 	}
-	return e.ID + RunMark + strconv.FormatInt(e.Born, runBase)
+	return e.ID + RunSeparator + strconv.FormatInt(e.Born, runBase)
 }
 
 // Change is a new entry of a server, or its removal.
@@ -85,17 +85,17 @@
 
 // Config holds the rules for removed entries.
 type Config struct {
-	// LapseGrace is the time after the return of the platform's store for which a server
+	// ExpiryGrace is the time after the return of the platform's store for which a server
 	// with an expired entry stays in use. Entries expire during an outage of the store
 	// although their servers run. The requirements say that the servers write them again
 	// within about two seconds of the store's return. After a mass removal, as defined by
-	// ManyAtOnce, the time counts from the removal.
-	LapseGrace time.Duration
-	// ManyAtOnce is the fraction of all servers whose removal in one read is treated as
+	// MassRemovalFraction, the time counts from the removal.
+	ExpiryGrace time.Duration
+	// MassRemovalFraction is the fraction of all servers whose removal in one read is treated as
 	// expiry, even if no outage of the store was noticed. Servers that were draining are
 	// not counted as removed. Planned work removes fewer servers at a time without
 	// draining them first.
-	ManyAtOnce float64
+	MassRemovalFraction float64
 	// DepartedFor is the time for which the registry remembers that a run of a server is
 	// gone. It must exceed the age of a copy from which the store may be restored, which is
 	// some seconds according to the requirements.
@@ -104,16 +104,16 @@
 
 // DefaultConfig returns the configuration that follows the requirements.
 func DefaultConfig() Config {
-	return Config{LapseGrace: 2 * time.Second, ManyAtOnce: 0.3, DepartedFor: 5 * time.Minute}
+	return Config{ExpiryGrace: 2 * time.Second, MassRemovalFraction: 0.3, DepartedFor: 5 * time.Minute}
 }
 
 // Server is one backend server in the view of this instance.
 type Server struct {
 	Entry
-	// Lapsed is set while the entry has expired and may return.
-	Lapsed bool
-	// Gone is the time at which an expired server is dropped.
-	Gone time.Time
+	// Expired is set while the entry has expired and may return.
+	Expired bool
+	// DropAt is the time at which an expired server is dropped.
+	DropAt time.Time
 	// ColdUntil is the end of the time in which the server can process only few requests.
 	// It is computed from the time at which the entry was read.
 	ColdUntil time.Time
@@ -126,8 +126,8 @@
 	Position oplog.Position
 	// Read is the time at which changes were last applied.
 	Read time.Time
-	// Part is set if the view holds only a subset of the list.
-	Part bool
+	// IsSubset is set if the view holds only a subset of the list.
+	IsSubset bool
 }
 
 // Find returns the server with the given id, or nil.
@@ -152,7 +152,7 @@
 func (v *View) Snapshot() Snapshot {
 	snapshot := Snapshot{Position: v.Position}
 	for _, server := range v.Servers {
-		if !server.Lapsed {
+		if !server.Expired {
 			snapshot.Entries = append(snapshot.Entries, server.Entry)
 		}
 	}
@@ -199,9 +199,9 @@
 	r.storeReturnedAt = at
 }
 
-// Keep drops all servers whose entries do not satisfy keep, and ignores such entries
+// SetFilter drops all servers whose entries do not satisfy keep, and ignores such entries
 // until the next Take.
-func (r *Registry) Keep(keep func(*Entry) bool) {
+func (r *Registry) SetFilter(keep func(*Entry) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.keep = keep
@@ -227,10 +227,10 @@
 	r.reset(snapshot, now)
 }
 
-// Take is like Reset, but first changes which entries the registry keeps. The list must
+// ResetWithFilter is like Reset, but first changes which entries the registry keeps. The list must
 // hold all entries that satisfy keep. A nil keep selects all. Take reports whether the list
 // was applied.
-func (r *Registry) Take(snapshot Snapshot, keep func(*Entry) bool, now time.Time) bool {
+func (r *Registry) ResetWithFilter(snapshot Snapshot, keep func(*Entry) bool, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if snapshot.Position < r.view.Load().Position {
@@ -311,14 +311,14 @@
 func (r *Registry) remove(ids []string, now time.Time) {
 	notDraining := 0
 	for _, id := range ids {
-		if server, known := r.servers[id]; known && !server.Draining && !server.Lapsed {
+		if server, known := r.servers[id]; known && !server.Draining && !server.Expired {
 			notDraining++
 		}
 	}
 	gone := r.expiryDeadline(notDraining, now)
 	for _, id := range ids {
 		server, known := r.servers[id]
-		if !known || server.Lapsed {
+		if !known || server.Expired {
 			continue
 		}
 		if server.Draining || !now.Before(gone) {
@@ -326,9 +326,9 @@
 			r.recordDeparture(server, now)
 			continue
 		}
-		server.Lapsed = true
+		server.Expired = true
 		r.hasExpired = true
-		server.Gone = gone
+		server.DropAt = gone
 		r.servers[id] = server
 	}
 }
@@ -339,11 +339,11 @@
 // from the removal, a server that left just after the store's return would get work for
 // too long.
 func (r *Registry) expiryDeadline(removed int, now time.Time) time.Time {
-	many := float64(removed) >= r.config.ManyAtOnce*float64(len(r.servers))
+	many := float64(removed) >= r.config.MassRemovalFraction*float64(len(r.servers))
 	if many {
-		return now.Add(r.config.LapseGrace)
+		return now.Add(r.config.ExpiryGrace)
 	}
-	return r.storeReturnedAt.Add(r.config.LapseGrace)
+	return r.storeReturnedAt.Add(r.config.ExpiryGrace)
 }
 
 // Tick drops the expired servers whose grace period has ended, and forgets departed runs
@@ -357,7 +357,7 @@
 	}
 	before := len(r.servers)
 	maps.DeleteFunc(r.servers, func(_ string, server Server) bool {
-		gone := server.Lapsed && !now.Before(server.Gone)
+		gone := server.Expired && !now.Before(server.DropAt)
 		if gone {
 			r.recordDeparture(server, now)
 		}
@@ -365,7 +365,7 @@
 	})
 	r.hasExpired = false
 	for _, server := range r.servers {
-		r.hasExpired = r.hasExpired || server.Lapsed
+		r.hasExpired = r.hasExpired || server.Expired
 	}
 	if len(r.servers) != before {
 		view := r.view.Load()
@@ -374,7 +374,7 @@
 }
 
 func (r *Registry) publish(position oplog.Position, read time.Time) {
-	next := &View{Servers: make([]Server, 0, len(r.servers)), Position: position, Read: read, Part: r.keep != nil}
+	next := &View{Servers: make([]Server, 0, len(r.servers)), Position: position, Read: read, IsSubset: r.keep != nil}
 	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
 		next.Servers = append(next.Servers, r.servers[id])
 	}
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -39,7 +39,7 @@
 	back := start.Add(5 * time.Second)
 	r.StoreReturned(back)
 	r.Apply([]Change{{ID: "s3"}}, 11, back)
-	if found := r.View().Find("s3"); found == nil || !found.Lapsed {
+	if found := r.View().Find("s3"); found == nil || !found.Expired {
 		t.Fatal("a server whose entry may have expired was dropped at once")
 	}
 	r.Tick(back.Add(1900 * time.Millisecond))
@@ -59,7 +59,7 @@
 	r := registryWith(10)
 	r.StoreReturned(start)
 	r.Apply([]Change{{ID: "s3"}}, 11, start.Add(time.Second))
-	if found := r.View().Find("s3"); found == nil || !found.Lapsed {
+	if found := r.View().Find("s3"); found == nil || !found.Expired {
 		t.Fatal("a server whose entry may have expired was dropped at once")
 	}
 	r.Tick(start.Add(2 * time.Second))
@@ -79,7 +79,7 @@
 	again := Entry{ID: "s3", Service: "a", Address: "127.0.0.1:1"}
 	r.Apply([]Change{{ID: "s3", Entry: &again}}, 12, start.Add(time.Second))
 	r.Tick(start.Add(time.Minute))
-	if found := r.View().Find("s3"); found == nil || found.Lapsed {
+	if found := r.View().Find("s3"); found == nil || found.Expired {
 		t.Fatal("an entry that returned was not accepted")
 	}
 }
@@ -98,7 +98,7 @@
 func TestManyRemovalsAtOnceCountAsExpiry(t *testing.T) {
 	r := registryWith(10)
 	r.Apply([]Change{{ID: "s1"}, {ID: "s2"}, {ID: "s3"}, {ID: "s4"}}, 14, start)
-	if found := r.View().Find("s1"); found == nil || !found.Lapsed {
+	if found := r.View().Find("s1"); found == nil || !found.Expired {
 		t.Fatal("four of ten servers were removed at once and dropped without a grace period")
 	}
 }
@@ -223,7 +223,7 @@
 
 func TestFilterLimitsEntries(t *testing.T) {
 	r := registryWith(10)
-	r.Keep(evenID)
+	r.SetFilter(evenID)
 	if n := len(r.View().Servers); n != 5 || r.View().Find("s3") != nil {
 		t.Fatalf("%d servers are kept, want the 5 with even ids", n)
 	}
@@ -234,18 +234,18 @@
 		t.Errorf("%+v", r.View())
 	}
 	// A server whose changed entry is no longer selected is dropped.
-	r.Keep(func(entry *Entry) bool { return entry.Zone == "" })
+	r.SetFilter(func(entry *Entry) bool { return entry.Zone == "" })
 	moved := Entry{ID: "s2", Zone: "far"}
 	r.Apply([]Change{{ID: "s2", Entry: &moved}}, position+5, start)
 	if r.View().Find("s2") != nil {
 		t.Error("a server that the filter excludes is still listed")
 	}
 	whole := Snapshot{Entries: makeEntries(10), Position: position + 5}
-	if !r.Take(whole, nil, start) || len(r.View().Servers) != 10 {
+	if !r.ResetWithFilter(whole, nil, start) || len(r.View().Servers) != 10 {
 		t.Errorf("%d servers after the filter was removed", len(r.View().Servers))
 	}
 	whole.Position = position
-	if r.Take(whole, evenID, start) || len(r.View().Servers) != 10 {
+	if r.ResetWithFilter(whole, evenID, start) || len(r.View().Servers) != 10 {
 		t.Error("an older list changed the filter")
 	}
 }
@@ -254,10 +254,10 @@
 // as departed. It is listed again, and not as expired, once the filter selects it.
 func TestFilteredServerIsNotDeparted(t *testing.T) {
 	r := New(DefaultConfig())
-	r.Reset(Snapshot{Position: oplog.At(1, 1), Entries: []Entry{{ID: "s1", Born: 1}, {ID: "s2", Born: 1}}}, start)
-	r.Keep(evenID)
-	r.Take(Snapshot{Position: oplog.At(2, 1), Entries: []Entry{{ID: "s1", Born: 1}, {ID: "s2", Born: 1}}}, nil, start)
-	if server := r.View().Find("s1"); server == nil || server.Lapsed {
+	r.Reset(Snapshot{Position: oplog.NewPosition(1, 1), Entries: []Entry{{ID: "s1", Born: 1}, {ID: "s2", Born: 1}}}, start)
+	r.SetFilter(evenID)
+	r.ResetWithFilter(Snapshot{Position: oplog.NewPosition(2, 1), Entries: []Entry{{ID: "s1", Born: 1}, {ID: "s2", Born: 1}}}, nil, start)
+	if server := r.View().Find("s1"); server == nil || server.Expired {
 		t.Errorf("%+v", server)
 	}
 }
--- a/request/plain.go
+++ b/request/plain.go
@@ -88,7 +88,7 @@
 // ran.
 func (p *plainRun) keepAnswer(ctx context.Context, answer service.Answer) {
 	if p.op != nil && ctx.Err() != nil && len(answer.Body) <= maxKeptAnswerBytes {
-		p.Operations.Keep(*p.op, answer)
+		p.Operations.StoreAnswer(*p.op, answer)
 	}
 }
 
@@ -99,7 +99,7 @@
 	if result.Reason != reason.AlreadyAnswered {
 		return service.Answer{}, result
 	}
-	answer, ok := p.Operations.Take(*p.req.Operation)
+	answer, ok := p.Operations.TakeAnswer(*p.req.Operation)
 	if !ok {
 		return service.Answer{}, result
 	}
--- a/request/runner.go
+++ b/request/runner.go
@@ -221,7 +221,7 @@
 	r.Metrics.Ended(r.record.Service, outcome, why)
 	if r.op != nil {
 		status := operation.Status{Outcome: outcome, Reason: why}
-		r.Operations.End(*r.op, status)
+		r.Operations.Finish(*r.op, status)
 		if r.intentRecorded {
 			r.Witnesses.ReportOutcome(*r.op, status)
 		}
--- a/standin/lifeline.go
+++ b/standin/lifeline.go
@@ -207,13 +207,13 @@
 
 func (p peerTransport) Call(ctx context.Context, address string, request *peer.Message) (*peer.Message, error) {
 	if !p.waitWhilePaused() {
-		return nil, peer.ErrUnreached
+		return nil, peer.ErrNoAnswer
 	}
 	ctx, done := p.bindContext(ctx)
 	defer done()
 	answer, err := p.Transport.Call(ctx, address, request)
 	if !p.waitWhilePaused() {
-		return nil, peer.ErrUnreached
+		return nil, peer.ErrNoAnswer
 	}
 	return answer, err
 }
--- a/standin/list.go
+++ b/standin/list.go
@@ -35,7 +35,7 @@
 func (l *List) Leaving(name string) {
 	l.afterLag(func() {
 		if entry, listed := l.entries[name]; listed {
-			entry.State = instancelist.Leaving
+			entry.State = instancelist.Draining
 			l.entries[name] = entry
 		}
 	})
--- a/standin/network.go
+++ b/standin/network.go
@@ -166,7 +166,7 @@
 	case answer := <-answers:
 		return peer.Decode(answer)
 	case <-ctx.Done():
-		return nil, peer.ErrUnreached
+		return nil, peer.ErrNoAnswer
 	}
 }
 
--- a/subset/census.go
+++ b/subset/census.go
@@ -33,44 +33,44 @@
 
 // Config sets how many servers an instance uses.
 type Config struct {
-	// AllAtMost is the number of servers up to which each instance uses all of them.
+	// MaxForAll is the number of servers up to which each instance uses all of them.
 	// With more, decisions take too long, and each server costs memory and messages at
 	// every instance.
-	AllAtMost int
-	// NearAtLeast and FarAtLeast are the minimum numbers of servers of a service that
+	MaxForAll int
+	// MinNear and MinFar are the minimum numbers of servers of a service that
 	// an instance uses in its own zone and in the other zones. More servers have
 	// capacity for bursts and even out the load, but each takes memory, and its changes
 	// are sent to the instance.
-	NearAtLeast int
-	FarAtLeast  int
-	// UsersAtLeast is the mean number of instances of its zone that use each server.
+	MinNear int
+	MinFar  int
+	// MinUsers is the mean number of instances of its zone that use each server.
 	// With fewer, some servers would be used by no instance, or by one instance that is
 	// gone.
-	UsersAtLeast int
+	MinUsers int
 }
 
 // DefaultConfig returns settings that suit instances with up to some hundreds of
 // running requests.
 func DefaultConfig() Config {
-	return Config{AllAtMost: 512, NearAtLeast: 48, FarAtLeast: 16, UsersAtLeast: 8}
+	return Config{MaxForAll: 512, MinNear: 48, MinFar: 16, MinUsers: 8}
 }
 
-// Of returns the subset of an instance, or nil if it uses all servers.
-func (c Config) Of(instance, zone string, census *Census, instances Instances) *Subset {
-	if census.total <= c.AllAtMost {
+// Select returns the subset of an instance, or nil if it uses all servers.
+func (c Config) Select(instance, zone string, census *Census, instances Instances) *Subset {
+	if census.total <= c.MaxForAll {
 		return nil
 	}
 	var shares []Share
 	for _, service := range slices.Sorted(maps.Keys(census.byService)) {
 		near := census.byServiceZone[serviceZone{service, zone}]
 		far := census.byService[service] - near
-		share := Share{Service: service, Far: halvings(far, c.FarAtLeast, instances.All, 1)}
+		share := Share{Service: service, Far: halvings(far, c.MinFar, instances.All, 1)}
 		if near > 0 {
-			share.Near = halvings(near, c.NearAtLeast, instances.Near, c.UsersAtLeast)
+			share.Near = halvings(near, c.MinNear, instances.Near, c.MinUsers)
 		}
-		if near < c.NearAtLeast {
+		if near < c.MinNear {
 			// The other zones have to make up for the missing servers.
-			share.Far = halvings(far, c.NearAtLeast, instances.All, c.UsersAtLeast)
+			share.Far = halvings(far, c.MinNear, instances.All, c.MinUsers)
 		}
 		shares = append(shares, share)
 	}
@@ -92,7 +92,7 @@
 // read its subset again.
 func (c Config) Fits(have, now *Subset, census *Census) bool {
 	if (have == nil) != (now == nil) {
-		return census.total > c.AllAtMost/2 && census.total <= 2*c.AllAtMost
+		return census.total > c.MaxForAll/2 && census.total <= 2*c.MaxForAll
 	}
 	if have == nil {
 		return true
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -56,9 +56,9 @@
 	return digest.Sum64() | 1
 }
 
-// Holds reports whether a server is in the subset. The result depends on the server's
+// Contains reports whether a server is in the subset. The result depends on the server's
 // id, so it stays the same when the server's process is restarted.
-func (s *Subset) Holds(id, service, zone string) bool {
+func (s *Subset) Contains(id, service, zone string) bool {
 	if s == nil {
 		return true
 	}
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -46,7 +46,7 @@
 	for _, names := range d.instances {
 		all += len(names)
 	}
-	return DefaultConfig().Of(instance, zone, d.census(), Instances{All: all, Near: len(d.instances[zone])})
+	return DefaultConfig().Select(instance, zone, d.census(), Instances{All: all, Near: len(d.instances[zone])})
 }
 
 var sizes = []struct{ zones, servers, instances int }{
@@ -67,7 +67,7 @@
 					uses := d.subsetOf(name, zone)
 					held := make(map[string][]string)
 					for _, s := range d.servers {
-						if uses.Holds(s.id, s.service, s.zone) {
+						if uses.Contains(s.id, s.service, s.zone) {
 							held[s.service+" "+s.zone] = append(held[s.service+" "+s.zone], s.id)
 						}
 					}
@@ -84,7 +84,7 @@
 						}
 					}
 					largest = max(largest, count)
-					if size.servers <= config.AllAtMost && count != size.servers {
+					if size.servers <= config.MaxForAll && count != size.servers {
 						t.Fatalf("%s uses %d of %d servers", name, count, size.servers)
 					}
 				}
@@ -96,10 +96,10 @@
 				}
 			}
 			t.Logf("at most %d servers per instance, %d servers used by no instance of their zone, standard deviation of the engines' loads %.2f of the mean", largest, unused, spread(load))
-			if size.instances >= 100 && largest > max(config.AllAtMost, 400) {
+			if size.instances >= 100 && largest > max(config.MaxForAll, 400) {
 				t.Errorf("an instance uses %d servers", largest)
 			}
-			if size.servers > config.AllAtMost && spread(load) > 0.4 {
+			if size.servers > config.MaxForAll && spread(load) > 0.4 {
 				t.Errorf("the standard deviation of the engines' loads is %.2f of the mean, want at most 0.4", spread(load))
 			}
 			if unused > size.servers/200 {
@@ -130,7 +130,7 @@
 		t.Fatalf("subset with shares %+v does not fit where %+v is wanted", a.Shares(), b.Shares())
 	}
 	for _, s := range after.servers {
-		if a.Holds(s.id, s.service, s.zone) != New(name, "z1", a.Shares()).Holds(s.id, s.service, s.zone) {
+		if a.Contains(s.id, s.service, s.zone) != New(name, "z1", a.Shares()).Contains(s.id, s.service, s.zone) {
 			t.Fatal("a subset made from the same shares holds other servers")
 		}
 	}
@@ -156,7 +156,7 @@
 			t.Errorf("Fits(%+v, %+v) = %t", test.have, test.now, fits)
 		}
 	}
-	near := deploymentOf(5, config.AllAtMost+1, 100)
+	near := deploymentOf(5, config.MaxForAll+1, 100)
 	if !config.Fits(nil, near.subsetOf("i", "z1"), near.census()) {
 		t.Error("a subset replaces all servers after one server more than AllAtMost")
 	}
@@ -164,7 +164,7 @@
 
 func TestAllServersOfServiceWithoutShareAreUsed(t *testing.T) {
 	s := New("i", "z", []Share{{Service: "known", Near: 20, Far: 20}})
-	if !s.Holds("a", "new", "z") || s.Holds("a", "known", "z") && s.Holds("b", "known", "z") {
+	if !s.Contains("a", "new", "z") || s.Contains("a", "known", "z") && s.Contains("b", "known", "z") {
 		t.Error("wrong servers for a service without a share or with a small one")
 	}
 	if (*Subset)(nil).Fingerprint() != 0 || s.Fingerprint() == New("i", "z", []Share{{Service: "known", Near: 19, Far: 20}}).Fingerprint() {
@@ -178,6 +178,6 @@
 func BenchmarkHolds(b *testing.B) {
 	s := New("front-sabana-17", "sabana", []Share{{Service: "plain", Near: 2, Far: 6}, {Service: "engines", Near: 4, Far: 8}})
 	for b.Loop() {
-		s.Holds("i-234df836d7", "engines", "sabana")
+		s.Contains("i-234df836d7", "engines", "sabana")
 	}
 }
--- a/table/column.go
+++ b/table/column.go
@@ -60,7 +60,7 @@
 	ColHold        Column = "hold_ms"
 	ColHandle      Column = "handle_ms"
 	ColSwitch      Column = "switch_ms"
-	ColStride      Column = "event_tokens"
+	ColEventTokens Column = "event_tokens"
 	ColHeaderBytes Column = "header_bytes"
 	ColBodyBytes   Column = "body_bytes"
 	ColIdle        Column = "idle_ms"
@@ -148,7 +148,7 @@
 		{column: ColHold, check: intBetween(0, 600_000), omitEmptyInHash: true},
 		{column: ColHandle, check: intBetween(0, 600_000), omitEmptyInHash: true},
 		{column: ColSwitch, check: intBetween(0, 600_000), omitEmptyInHash: true},
-		{column: ColStride, check: intBetween(0, 100_000), omitEmptyInHash: true},
+		{column: ColEventTokens, check: intBetween(0, 100_000), omitEmptyInHash: true},
 		{column: ColMoves, check: oneOf("true", "false"), omitEmptyInHash: true},
 		{column: ColColdRate, check: decimalUpTo(1_000_000_000), omitEmptyInHash: true},
 	},
--- a/table/fold.go
+++ b/table/fold.go
@@ -71,9 +71,9 @@
 // Next returns the offset of the next record to fold.
 func (f *Fold) Next() uint64 { return f.next }
 
-// Bad returns the number of invalid records: those that could not be decoded or
+// BadRecords returns the number of invalid records: those that could not be decoded or
 // verified, and edits without an id.
-func (f *Fold) Bad() int { return f.badRecords }
+func (f *Fold) BadRecords() int { return f.badRecords }
 
 // Verdict returns the verdict on an edit, if the fold still keeps it.
 func (f *Fold) Verdict(editID string) (Verdict, bool) {
@@ -129,7 +129,7 @@
 func (f *Fold) Lease(key string) lease.State { return f.leases[key] }
 
 func (f *Fold) addClaim(offset uint64, claim lease.Claim) {
-	if next, counted := f.leases[claim.Key].Follow(claim, offset); counted {
+	if next, counted := f.leases[claim.Key].Apply(claim, offset); counted {
 		f.leases[claim.Key] = next
 	}
 }
--- a/table/view.go
+++ b/table/view.go
@@ -194,7 +194,7 @@
 			Hold:         millis(cells[ColHold], 0),
 			Handle:       millis(cells[ColHandle], 0),
 			Switch:       millis(cells[ColSwitch], 0),
-			EventTokens:  number(cells[ColStride], 1),
+			EventTokens:  number(cells[ColEventTokens], 1),
 			Moves:        cells[ColMoves] == "true",
 		},
 	}
--- a/trial/node.go
+++ b/trial/node.go
@@ -133,7 +133,7 @@
 		},
 		Limits:       caller.DefaultLimits(),
 		Tokens:       Tokens,
-		Strangers:    transport.Strangers,
+		Strangers:    transport.RejectedConnections,
 		Callers:      callers,
 		Operators:    operators,
 		DrainTimeout: daemon.DefaultDrainTimeout,
