--- a/allotment/gossip.go
+++ b/allotment/gossip.go
@@ -46,16 +46,16 @@
 func (l *Ledger) Balances(most int, now time.Time) []Balance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var levels []Balance
+	var balances []Balance
 	for _, a := range l.teams {
 		if now.Sub(a.lastSpent) > l.config.RepeatFor {
 			continue
 		}
 		l.refill(a, now)
-		levels = append(levels, Balance{Team: IDOf(a.team), Units: int64(a.balance), Total: int64(a.zoneTotal)})
+		balances = append(balances, Balance{Team: IDOf(a.team), Units: int64(a.balance), Total: int64(a.zoneTotal)})
 	}
-	slices.SortFunc(levels, func(a, b Balance) int { return cmp.Or(cmp.Compare(a.Units, b.Units), cmp.Compare(a.Team, b.Team)) })
-	return levels[:min(len(levels), most)]
+	slices.SortFunc(balances, func(a, b Balance) int { return cmp.Or(cmp.Compare(a.Units, b.Units), cmp.Compare(a.Team, b.Team)) })
+	return balances[:min(len(balances), most)]
 }
 
 // ApplySpent applies the totals that a sibling has spent. sameZone is whether the sibling is in
@@ -80,12 +80,12 @@
 }
 
 // ApplyZone applies what a hub of another zone knows.
-func (l *Ledger) ApplyZone(hub string, incarnation uint64, levels []Balance, now time.Time) {
+func (l *Ledger) ApplyZone(hub string, incarnation uint64, balances []Balance, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastContact = now
 	from := l.sourceOf(sourceKey{sibling: hub, zone: true}, incarnation)
-	for _, entry := range levels {
+	for _, entry := range balances {
 		added, known := from.advance(entry.Team, entry.Total)
 		for _, a := range l.byID[entry.Team] {
 			l.deduct(a, added, now)
--- a/allotment/ledger.go
+++ b/allotment/ledger.go
@@ -56,7 +56,7 @@
 // Decision is whether a request is admitted, and the figures that decided it.
 type Decision struct {
 	Admitted bool
-	// Team is the team whose bucket was checked. Cost is what the request counts as, and Left
+	// Team is the team whose bucket was checked. Cost is what the request counts as, and Balance
 	// is the balance before it, both in units. A negative balance is a debt.
 	Team    string
 	Cost    float64
--- a/allotment/play_test.go
+++ b/allotment/play_test.go
@@ -64,7 +64,7 @@
 // instanceCounts returns the numbers of instances to simulate. Sixty instances take minutes
 // with the race detector and seconds without it.
 func instanceCounts() []int {
-	if racedetector.On {
+	if racedetector.Enabled {
 		return []int{1, 8}
 	}
 	return []int{1, 8, 60}
--- a/backpressure/instances.go
+++ b/backpressure/instances.go
@@ -9,7 +9,7 @@
 // Instances are the instances that share the rate limits of servers, as one instance knows
 // them.
 type Instances struct {
-	// Self is the name of this instance. Taking are the names of all instances that accept
+	// Self is the name of this instance. Active are the names of all instances that accept
 	// requests.
 	Self   string
 	Active []string
--- a/backpressure/server.go
+++ b/backpressure/server.go
@@ -51,7 +51,7 @@
 	// then requests pass without taking the lock.
 	reported atomic.Bool
 
-	// wasCold is set once Cold has been called.
+	// wasCold is set once SetCold has been called.
 	wasCold atomic.Bool
 
 	mu sync.Mutex
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -21,7 +21,7 @@
 	// heartbeat traffic grows with its square.
 	MaxUndivided int
 	// MeanSize is the mean size of the cells of a larger region. Cells differ in
-	// size, so it must be well below Most.
+	// size, so it must be well below MaxUndivided.
 	MeanSize int
 	// Contacts is the number of instances in each other zone with which an
 	// instance stays in contact, for witnesses and for callers of those zones.
--- a/client/client.go
+++ b/client/client.go
@@ -48,11 +48,11 @@
 
 // New returns a caller that knows the addresses of some instances.
 func New(addresses []string, zone string) *Client {
-	return NewWith(func() []string { return addresses }, zone)
+	return NewWithAddresses(func() []string { return addresses }, zone)
 }
 
-// NewWith returns a caller whose known addresses may change.
-func NewWith(addresses func() []string, zone string) *Client {
+// NewWithAddresses returns a caller whose known addresses may change.
+func NewWithAddresses(addresses func() []string, zone string) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
 	return &Client{Addresses: addresses, Zone: zone, http: &http.Client{Transport: transport}}
 }
@@ -126,11 +126,11 @@
 	RetryAfter time.Duration
 	Text       string
 	Tokens     int
-	// FirstToken is the time to the first token. Between is the mean time
+	// FirstToken is the time to the first token. TokenInterval is the mean time
 	// between tokens.
-	FirstToken time.Duration
-	Between    time.Duration
-	Took       time.Duration
+	FirstToken    time.Duration
+	TokenInterval time.Duration
+	Took          time.Duration
 }
 
 // Completion is a request to a model to continue a prompt.
@@ -298,7 +298,7 @@
 	result.Took = time.Since(started)
 	result.FirstToken = first.Sub(started)
 	if result.Tokens > 1 {
-		result.Between = last.Sub(first) / time.Duration(result.Tokens-1)
+		result.TokenInterval = last.Sub(first) / time.Duration(result.Tokens-1)
 	}
 	return result
 }
@@ -310,9 +310,9 @@
 	Path    string
 	Body    []byte
 	Team    string
-	// Once makes the call carry an operation ID, so that its outcome can be
+	// WithOperationID makes the call carry an operation ID, so that its outcome can be
 	// queried when the instance fails.
-	Once bool
+	WithOperationID bool
 }
 
 // CallResult is the outcome of one plain call as the caller knows it.
@@ -343,7 +343,7 @@
 	if err != nil {
 		return CallResult{Result: Result{Outcome: reason.NotRun, Reason: reason.ConnectFailed}}, true
 	}
-	if call.Once && entry.Operation != nil {
+	if call.WithOperationID && entry.Operation != nil {
 		result.Operation = entry.Operation.Prefix + newNonce()
 	}
 	url := "http://" + entry.Address + caller.PathServices + call.Service + call.Path
@@ -400,15 +400,15 @@
 func (c *Client) queryStatus(ctx context.Context, entry instance.Entry, id string) (operation.Status, error) {
 	addresses := append([]string{entry.Operation.Witness}, c.Addresses()...)
 	for _, address := range addresses {
-		if status, err := c.AskOperation(ctx, address, id); err == nil {
+		if status, err := c.QueryOperation(ctx, address, id); err == nil {
 			return status, nil
 		}
 	}
 	return operation.Status{}, ErrNoInstance
 }
 
-// AskOperation queries an instance for the status of an operation.
-func (c *Client) AskOperation(ctx context.Context, address, id string) (operation.Status, error) {
+// QueryOperation queries an instance for the status of an operation.
+func (c *Client) QueryOperation(ctx context.Context, address, id string) (operation.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var status operation.Status
--- a/cmd/mastwheel/load.go
+++ b/cmd/mastwheel/load.go
@@ -38,7 +38,7 @@
 	profile := load.Profile{
 		Model: command.String("model"), Service: command.String("service"),
 		Rate: command.Float("rate"), PlainRate: command.Float("plain-rate"),
-		MedianPrompt: command.Float("prompt"), Spread: 0.7, MostPrompt: 24_000,
+		MedianPrompt: command.Float("prompt"), Spread: 0.7, MaxPrompt: 24_000,
 		MeanAnswer: max(command.Int("answer"), 1), Templates: 12, TemplateTokens: 1024,
 		Teams: command.StringSlice("team"),
 	}
--- a/cmd/mastwheel/try.go
+++ b/cmd/mastwheel/try.go
@@ -119,18 +119,18 @@
 	if instances < 1 || instances > maxInstances {
 		return trial.Options{}, errors.Errorf("--instances: %d is outside 1 to %d", instances, maxInstances)
 	}
-	protect, err := trial.ProtectWithout(command.String("without"))
+	protect, err := trial.ProtectionsExcept(command.String("without"))
 	if err != nil {
 		return trial.Options{}, err
 	}
 	if callTime := command.Duration("call-time"); callTime > 0 {
-		deployment.PlainTook = callTime
+		deployment.PlainDuration = callTime
 	}
 	if answer := command.Int("answer"); answer > 0 {
 		deployment.Traffic.MeanAnswer = answer
 	}
 	options := trial.Options{
-		Protect: protect, Leave: command.Float("leave"),
+		Protect: protect, DisconnectShare: command.Float("leave"),
 		Deployment: deployment, Instances: instances, Duration: command.Duration("duration"),
 		Seed: command.Uint64("seed"), Traffic: !command.Bool("no-traffic"), Load: command.Float("load"), Faults: faults,
 	}
--- a/cmd/mastwheeld/main.go
+++ b/cmd/mastwheeld/main.go
@@ -107,12 +107,12 @@
 			Weights:  weightstore.NewHTTP(settings.Platform.WeightStore),
 			Random:   rand.Float64,
 		},
-		Limits:       settings.CallerLimits(),
-		Tokens:       operator.Tokens{Read: settings.Operator.ReadToken, Edit: settings.Operator.EditToken},
-		Callers:      callers,
-		Operators:    operators,
-		Strangers:    siblings.RejectedConnections,
-		DrainTimeout: daemon.DefaultDrainTimeout,
+		Limits:        settings.CallerLimits(),
+		Tokens:        operator.Tokens{Read: settings.Operator.ReadToken, Edit: settings.Operator.EditToken},
+		Callers:       callers,
+		Operators:     operators,
+		RejectedPeers: siblings.RejectedConnections,
+		DrainTimeout:  daemon.DefaultDrainTimeout,
 	}, nil
 }
 
--- a/compare/compare.go
+++ b/compare/compare.go
@@ -48,9 +48,9 @@
 	// Goodput is the fraction of the offered requests that were done within
 	// both latency targets.
 	Goodput float64
-	// Wasted is the fraction of the prefilled prompt tokens whose result was
+	// WastedPrefill is the fraction of the prefilled prompt tokens whose result was
 	// not used.
-	Wasted        float64
+	WastedPrefill float64
 	WastedByCause map[string]int64
 	FirstTokenP95 time.Duration
 	BetweenP95    time.Duration
@@ -96,7 +96,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
-	record, err := json.Marshal(c.Deployment.FirstEdit(s.addEngines()))
+	record, err := json.Marshal(c.Deployment.InitialTableEdit(s.addEngines()))
 	if err != nil {
 		panic("compare: " + err.Error())
 	}
@@ -113,11 +113,11 @@
 // by name.
 func (s *simulation) addEngines() map[string]string {
 	addresses := make(map[string]string)
-	for n, name := range s.c.Deployment.Workers() {
+	for n, name := range s.c.Deployment.EngineNames() {
 		addresses[name] = engineAddress(n)
 		s.farm.Add(addresses[name], standin.DefaultEngine(name))
 	}
-	for n, name := range s.c.Deployment.PlainServers() {
+	for n, name := range s.c.Deployment.PlainServerNames() {
 		addresses[name] = fmt.Sprintf("10.0.1.%d:1", n+1)
 	}
 	return addresses
@@ -242,7 +242,7 @@
 func (s *simulation) addWaste(result *Result) {
 	prefilled, wasted := int64(0), int64(0)
 	result.WastedByCause = make(map[string]int64)
-	for n := range s.c.Deployment.Workers() {
+	for n := range s.c.Deployment.EngineNames() {
 		ledger := s.farm.Engine(engineAddress(n)).Ledger()
 		prefilled += ledger.PrefillTokens
 		for cause, tokens := range ledger.WastedTokens {
@@ -251,7 +251,7 @@
 		}
 	}
 	if prefilled > 0 {
-		result.Wasted = float64(wasted) / float64(prefilled)
+		result.WastedPrefill = float64(wasted) / float64(prefilled)
 	}
 }
 
@@ -302,7 +302,7 @@
 
 // measureRecovery sets the goodput around the outage and the recovery time.
 func (t *tally) measureRecovery(r *Result, c Case) {
-	starts, ends := int(c.Outage.At/time.Second), int((c.Outage.At+c.Outage.For)/time.Second)
+	starts, ends := int(c.Outage.At/time.Second), int((c.Outage.At+c.Outage.Duration)/time.Second)
 	last := int(c.Duration / time.Second)
 	r.Before, r.During, r.After = t.goodput(0, starts), t.goodput(starts, ends), t.goodput(ends, last)
 	for second := ends; second < last; second++ {
@@ -319,7 +319,7 @@
 	profile := c.Deployment.Traffic
 	profile.PlainRate = 0
 	profile.CancelShare = 0
-	profile.Flood = c.Flood
+	profile.FirstTeamExtra = c.Flood
 	profile.Rate = c.Load * Capacity(c.Deployment)
 	return load.Plan(profile, c.Duration, c.Seed)
 }
--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -41,8 +41,8 @@
 	base := Case{Deployment: trial.Deployments["cooperativa"], Instances: 3, Load: 1.1, Duration: 15 * time.Second, Seed: 1}
 	base.Policy = route.DefaultPolicy()
 	ours := run(t, base)
-	if ours.Wasted > 0.01 {
-		t.Errorf("wasted %.4f of the prefill", ours.Wasted)
+	if ours.WastedPrefill > 0.01 {
+		t.Errorf("wasted %.4f of the prefill", ours.WastedPrefill)
 	}
 	for _, policy := range route.Baselines() {
 		base.Policy = policy
@@ -50,8 +50,8 @@
 		if theirs.Goodput > ours.Goodput+0.01 {
 			t.Errorf("%s has goodput %.3f, over %.3f", policy.Name, theirs.Goodput, ours.Goodput)
 		}
-		if theirs.Wasted < 10*ours.Wasted {
-			t.Errorf("%s wastes %.4f, less than ten times %.4f", policy.Name, theirs.Wasted, ours.Wasted)
+		if theirs.WastedPrefill < 10*ours.WastedPrefill {
+			t.Errorf("%s wastes %.4f, less than ten times %.4f", policy.Name, theirs.WastedPrefill, ours.WastedPrefill)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	for _, deployment := range []string{"cooperativa", "camara"} {
 		f.tables(&page, deployment)
 		f.plot(t, deployment, "goodput", func(r Result) float64 { return r.Goodput })
-		f.plot(t, deployment, "waste", func(r Result) float64 { return r.Wasted })
+		f.plot(t, deployment, "waste", func(r Result) float64 { return r.WastedPrefill })
 	}
 	writeOutages(t, &page)
 	writeFloods(t, &page)
@@ -155,7 +155,7 @@
 
 func addMean(mean, r Result, n float64) Result {
 	mean.Goodput += r.Goodput / n
-	mean.Wasted += r.Wasted / n
+	mean.WastedPrefill += r.WastedPrefill / n
 	mean.Bound += r.Bound / n
 	mean.FirstTokenP95 += r.FirstTokenP95 / time.Duration(n)
 	mean.BetweenP95 += r.BetweenP95 / time.Duration(n)
@@ -191,7 +191,7 @@
 			fmt.Fprintf(page, "| %.1f |", load)
 			for _, name := range policyNames() {
 				r := f.results[key(deployment, instances, load, name)]
-				fmt.Fprintf(page, " %.3f / %.2f%% / %d / %d |", r.Goodput, 100*r.Wasted, r.FirstTokenP95.Milliseconds(), r.BetweenP95.Milliseconds())
+				fmt.Fprintf(page, " %.3f / %.2f%% / %d / %d |", r.Goodput, 100*r.WastedPrefill, r.FirstTokenP95.Milliseconds(), r.BetweenP95.Milliseconds())
 			}
 			fmt.Fprintf(page, " %.3f |\n", f.results[key(deployment, instances, load, policyNames()[0])].Bound)
 		}
--- a/compare/outage.go
+++ b/compare/outage.go
@@ -7,9 +7,9 @@
 
 // Outage makes engines or the log unavailable for a limited time.
 type Outage struct {
-	Name string
-	At   time.Duration
-	For  time.Duration
+	Name     string
+	At       time.Duration
+	Duration time.Duration
 	// engines reports whether an engine is down. log is true if the log is
 	// down.
 	engines func(name, zone string) bool
@@ -20,7 +20,7 @@
 // lasts ten seconds.
 func Outages() []*Outage {
 	outage := func(name string, log bool, engines func(name, zone string) bool) *Outage {
-		return &Outage{Name: name, At: 10 * time.Second, For: 10 * time.Second, engines: engines, log: log}
+		return &Outage{Name: name, At: 10 * time.Second, Duration: 10 * time.Second, engines: engines, log: log}
 	}
 	none := func(string, string) bool { return false }
 	return []*Outage{
@@ -35,7 +35,7 @@
 func (o *Outage) run(s *simulation) {
 	time.Sleep(o.At)
 	o.apply(s, true)
-	time.Sleep(o.For)
+	time.Sleep(o.Duration)
 	o.apply(s, false)
 }
 
@@ -44,7 +44,7 @@
 func (o *Outage) apply(s *simulation, down bool) {
 	s.log.Down.Store(o.log && down)
 	zones := s.c.Deployment.Zones
-	for n, name := range s.c.Deployment.Workers() {
+	for n, name := range s.c.Deployment.EngineNames() {
 		// The engines of each pool are assigned to the zones round robin.
 		index := n
 		if n >= s.c.Deployment.Prefill {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -26,8 +26,8 @@
 	// Callers and Operators are listeners that are already open.
 	Callers   net.Listener
 	Operators net.Listener
-	// Strangers returns the number of refused sibling connections.
-	Strangers func() int64
+	// RejectedPeers returns the number of refused sibling connections.
+	RejectedPeers func() int64
 	// DrainTimeout bounds a graceful shutdown. Requests that are still in flight
 	// when it expires are cut off.
 	DrainTimeout time.Duration
@@ -48,7 +48,7 @@
 // New creates a daemon. Run starts it.
 func New(options Options) *Daemon {
 	inst := instance.New(options.Config, options.Deps)
-	inst.Metrics.CountStrangers(options.Strangers)
+	inst.Metrics.CountRejectedPeers(options.RejectedPeers)
 	return &Daemon{
 		Instance:  inst,
 		options:   options,
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -71,7 +71,7 @@
 	config := edge.DefaultConfig()
 	config.Name, config.Zone, config.Capacity = settings.Name, settings.Zone, settings.Capacity
 	config.FirstStart = settings.FirstStart
-	config.RegionOf, config.EntriesAtMost = settings.Regions, platform.EntriesAtMost
+	config.RegionOf, config.EntriesAtMost = settings.Regions, platform.MaxEntries
 	config.CallerAddress, config.SiblingAddress, config.Seeds = settings.Callers, advertised, settings.Seeds
 	config.RetryRatio, config.RetrySlack = settings.Bounds.RetryRatio, settings.Bounds.RetrySlack
 	config.RetryWindow = settings.Bounds.RetryWindow
@@ -102,16 +102,16 @@
 // of answers that the instance dropped because of their era.
 func (p *Platform) registerEraMetrics() {
 	eras := &p.store.Eras
-	p.metrics.Watch("store_era", "Era of the store, by its last answer.", func() float64 { return float64(eras.Current()) })
-	p.metrics.Count("store_eras_total", "Times that the store has come back from an older copy.", func() float64 {
+	p.metrics.RegisterGauge("store_era", "Era of the store, by its last answer.", func() float64 { return float64(eras.Current()) })
+	p.metrics.RegisterCounter("store_eras_total", "Times that the store has come back from an older copy.", func() float64 {
 		changes, _, _ := eras.Counts()
 		return float64(changes)
 	})
-	p.metrics.Count("store_outdated_answers_total", "Answers of the store that were dropped since they are of an era that is over.", func() float64 {
+	p.metrics.RegisterCounter("store_outdated_answers_total", "Answers of the store that were dropped since they are of an era that is over.", func() float64 {
 		_, outdated, _ := eras.Counts()
 		return float64(outdated)
 	})
-	p.metrics.Count("store_era_unusable_total", "Answers of the store whose era could not be read.", func() float64 {
+	p.metrics.RegisterCounter("store_era_unusable_total", "Answers of the store whose era could not be read.", func() float64 {
 		_, _, unusable := eras.Counts()
 		return float64(unusable)
 	})
@@ -128,50 +128,50 @@
 			return clock.Since(at).Seconds()
 		}
 	}
-	p.metrics.Watch("table_revision", "Revision of the table in force.", func() float64 { return float64(p.edge.Revision()) })
-	p.metrics.Watch("table_age_seconds", "Time since the table was last known to be the newest; NaN before.", age(p.edge.TableConfirmed))
-	p.metrics.Watch("server_list_age_seconds", "Time since the list of backend servers was last known to be current; NaN before.", age(p.edge.Confirmed))
-	p.metrics.Count("store_probes_total", "Polls of the store beside those that wait there.", func() float64 {
+	p.metrics.RegisterGauge("table_revision", "Revision of the table in force.", func() float64 { return float64(p.edge.Revision()) })
+	p.metrics.RegisterGauge("table_age_seconds", "Time since the table was last known to be the newest; NaN before.", age(p.edge.TableConfirmed))
+	p.metrics.RegisterGauge("server_list_age_seconds", "Time since the list of backend servers was last known to be current; NaN before.", age(p.edge.Confirmed))
+	p.metrics.RegisterCounter("store_probes_total", "Polls of the store beside those that wait there.", func() float64 {
 		extra, _ := p.edge.Polls()
 		return float64(extra)
 	})
-	p.metrics.Count("store_polls_given_up_total", "Polls of the store that told less than others did, or that were given up for another reason.", func() float64 {
+	p.metrics.RegisterCounter("store_polls_given_up_total", "Polls of the store that told less than others did, or that were given up for another reason.", func() float64 {
 		_, givenUp := p.edge.Polls()
 		return float64(givenUp)
 	})
-	p.metrics.Count("store_records_rejected_total", "Records of the store that cannot be used.", func() float64 { return float64(p.rejected.Count()) })
-	p.metrics.Watch("servers_known", "Backend servers on the list that this instance knows.", func() float64 { return float64(p.edge.Known()) })
-	p.metrics.Watch("servers", "Backend servers that this instance uses.", func() float64 { return float64(len(p.edge.Servers().ByRun)) })
-	p.metrics.Watch("siblings_serving", "Siblings that serve.", func() float64 { return float64(p.edge.Serving()) })
-	p.metrics.Watch("hub_serves", "Instances that this one tells what all do; 0 unless it is a hub.", func() float64 {
+	p.metrics.RegisterCounter("store_records_rejected_total", "Records of the store that cannot be used.", func() float64 { return float64(p.rejected.Count()) })
+	p.metrics.RegisterGauge("servers_known", "Backend servers on the list that this instance knows.", func() float64 { return float64(p.edge.Known()) })
+	p.metrics.RegisterGauge("servers", "Backend servers that this instance uses.", func() float64 { return float64(len(p.edge.Servers().ByRun)) })
+	p.metrics.RegisterGauge("siblings_serving", "Siblings that serve.", func() float64 { return float64(p.edge.Serving()) })
+	p.metrics.RegisterGauge("hub_serves", "Instances that this one tells what all do; 0 unless it is a hub.", func() float64 {
 		serves, _ := p.edge.HubState()
 		return float64(serves)
 	})
-	p.metrics.Watch("hub_silence_seconds", "Time since the hubs that this instance asks answered.", func() float64 {
+	p.metrics.RegisterGauge("hub_silence_seconds", "Time since the hubs that this instance asks answered.", func() float64 {
 		_, silence := p.edge.HubState()
 		return silence.Seconds()
 	})
-	p.metrics.Watch("instances", "Instances that there are, as far as is known.", func() float64 { return float64(p.edge.Instances()) })
+	p.metrics.RegisterGauge("instances", "Instances that there are, as far as is known.", func() float64 { return float64(p.edge.Instances()) })
 	suspects := func(state poison.State) func() float64 {
 		return func() float64 { return float64(p.edge.Poison.Count(state)) }
 	}
-	p.metrics.Watch("requests_suspect", "Requests under which servers ended, and that are probed one at a time.", suspects(poison.Suspect))
-	p.metrics.Watch("requests_blocked", "Requests that crash servers and are sent to none.", suspects(poison.Blocked))
-	p.metrics.Watch("servers_limited", "Backend servers that name a rate limit.", func() float64 { return float64(p.edge.Fleet.Backpressure.Limited()) })
-	p.metrics.Watch("servers_leaving", "Backend servers that have said in their answers that they leave.", func() float64 { return float64(p.edge.Fleet.Backpressure.Leaving()) })
-	p.metrics.Watch("servers_resting", "Backend servers that have asked this instance to leave them alone for a while.", func() float64 {
+	p.metrics.RegisterGauge("requests_suspect", "Requests under which servers ended, and that are probed one at a time.", suspects(poison.Suspect))
+	p.metrics.RegisterGauge("requests_blocked", "Requests that crash servers and are sent to none.", suspects(poison.Blocked))
+	p.metrics.RegisterGauge("servers_limited", "Backend servers that name a rate limit.", func() float64 { return float64(p.edge.Fleet.Backpressure.Limited()) })
+	p.metrics.RegisterGauge("servers_leaving", "Backend servers that have said in their answers that they leave.", func() float64 { return float64(p.edge.Fleet.Backpressure.Leaving()) })
+	p.metrics.RegisterGauge("servers_resting", "Backend servers that have asked this instance to leave them alone for a while.", func() float64 {
 		return float64(p.edge.Fleet.Backpressure.BackingOff(clock.Now()))
 	})
-	p.metrics.Watch("servers_cold", "Backend servers that bear few requests since they have just started.", func() float64 {
+	p.metrics.RegisterGauge("servers_cold", "Backend servers that bear few requests since they have just started.", func() float64 {
 		return float64(p.edge.Fleet.Backpressure.Cold(clock.Now()))
 	})
-	p.metrics.Count("server_statements_unreadable_total", "Statements of backend servers about themselves that could not be read.", func() float64 {
+	p.metrics.RegisterCounter("server_statements_unreadable_total", "Statements of backend servers about themselves that could not be read.", func() float64 {
 		return float64(p.backends.Unreadable())
 	})
-	p.metrics.Watch("zones_evacuated", "Availability zones whose backend servers get nothing more.", func() float64 { return float64(p.edge.Evacuated()) })
-	p.metrics.Watch("requests_in_flight", "Requests being forwarded.", func() float64 { return float64(p.gateway.InFlight()) })
-	p.metrics.Watch("decode_memory_free_tokens", "KV memory of decode engines that nobody has committed.", func() float64 { return float64(p.gateway.FreeMemory()) })
-	p.metrics.Watch("retry_budget_left", "Retries left over all services.", p.edge.RetriesLeft)
+	p.metrics.RegisterGauge("zones_evacuated", "Availability zones whose backend servers get nothing more.", func() float64 { return float64(p.edge.Evacuated()) })
+	p.metrics.RegisterGauge("requests_in_flight", "Requests being forwarded.", func() float64 { return float64(p.gateway.InFlight()) })
+	p.metrics.RegisterGauge("decode_memory_free_tokens", "KV memory of decode engines that nobody has committed.", func() float64 { return float64(p.gateway.FreeMemory()) })
+	p.metrics.RegisterGauge("retry_budget_left", "Retries left over all services.", p.edge.RetriesLeft)
 }
 
 // connectionShare is the fraction of a server's connections that all instances
@@ -211,7 +211,7 @@
 // longer in use.
 func (p *Platform) closeUnusedConnections() {
 	servers := p.edge.Servers()
-	p.backends.Keep(func(id string) bool { return servers.ByRun[id] != nil }, clock.Now())
+	p.backends.Maintain(func(id string) bool { return servers.ByRun[id] != nil }, clock.Now())
 }
 
 // connectionCheckInterval is the pause between two checks for unused connections.
--- a/edge/backpressure_test.go
+++ b/edge/backpressure_test.go
@@ -66,7 +66,7 @@
 // heartbeats.
 func TestANewInstanceReceivesServerStatusReports(t *testing.T) {
 	for _, size := range []int{3, 8, 58} {
-		if racedetector.On && size > 8 {
+		if racedetector.Enabled && size > 8 {
 			continue
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
--- a/edge/catchup.go
+++ b/edge/catchup.go
@@ -23,7 +23,7 @@
 	Zone string `cbor:"4,keyasint,omitempty"`
 	// Shares is the subset of the servers that it uses. It is nil if none has been assigned.
 	Shares []subset.Share `cbor:"5,keyasint,omitempty"`
-	// NeedsFullList is set if it needs the full list, and Anew if it needs the list again though it has
+	// NeedsFullList is set if it needs the full list, and Reread if it needs the list again though it has
 	// it up to Position.
 	NeedsFullList bool `cbor:"6,keyasint,omitempty"`
 	Reread        bool `cbor:"7,keyasint,omitempty"`
--- a/edge/deps.go
+++ b/edge/deps.go
@@ -37,7 +37,7 @@
 	// Table is the newest configuration. It is nil if there is none.
 	Table []byte
 	// Evacuated holds, by availability zone, whether the backend servers of the zone must get no
-	// more requests. If Whole is set, zones that are missing are not evacuated. Otherwise they
+	// more requests. If Full is set, zones that are missing are not evacuated. Otherwise they
 	// keep their state.
 	Evacuated map[string]bool
 	Full      bool
--- a/edge/evacuation_test.go
+++ b/edge/evacuation_test.go
@@ -31,7 +31,7 @@
 
 func TestAllInstancesFollowAnEvacuation(t *testing.T) {
 	for _, instances := range []int{1, 8, 59} {
-		if racedetector.On && instances*goroutinesOfInstance > racedetector.MostGoroutines {
+		if racedetector.Enabled && instances*goroutinesOfInstance > racedetector.MaxGoroutines {
 			continue
 		}
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
@@ -83,7 +83,7 @@
 
 func TestANewInstanceKnowsOfAnEvacuation(t *testing.T) {
 	for _, instances := range []int{8, 59} {
-		if racedetector.On && instances*goroutinesOfInstance > racedetector.MostGoroutines {
+		if racedetector.Enabled && instances*goroutinesOfInstance > racedetector.MaxGoroutines {
 			continue
 		}
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
--- a/edge/hubcuts_test.go
+++ b/edge/hubcuts_test.go
@@ -15,7 +15,7 @@
 // Hubs and a few other instances are cut off at once, for varying times. Whichever they are, all
 // instances know each other again soon after the cut.
 func TestAllInstancesKnowEachOtherAfterHubsWereCutOff(t *testing.T) {
-	if racedetector.On {
+	if racedetector.Enabled {
 		t.Skip("too many instances for the race detector; CI runs them without it")
 	}
 	for seed := range uint64(cutDraws) {
--- a/edge/hubs_test.go
+++ b/edge/hubs_test.go
@@ -20,7 +20,7 @@
 func manyInstances(t *testing.T, test func(t *testing.T, f *fleet)) {
 	t.Helper()
 	for _, size := range manyInstanceSizes {
-		if racedetector.On || (testing.Short() && size > manyInstanceSizes[0]) {
+		if racedetector.Enabled || (testing.Short() && size > manyInstanceSizes[0]) {
 			continue
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
--- a/edge/mesh_test.go
+++ b/edge/mesh_test.go
@@ -14,7 +14,7 @@
 // forMeshSizes runs a test on each of the meshSizes.
 func forMeshSizes(t *testing.T, test func(t *testing.T, f *fleet)) {
 	for _, instances := range meshSizes {
-		if racedetector.On && instances*goroutinesOfInstance > racedetector.MostGoroutines {
+		if racedetector.Enabled && instances*goroutinesOfInstance > racedetector.MaxGoroutines {
 			continue
 		}
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
--- a/edge/newcomer_test.go
+++ b/edge/newcomer_test.go
@@ -16,7 +16,7 @@
 // A new instance whose seeds belong to other zones, and whose list of instances is empty, finds the
 // hubs of its own zone and becomes known to all.
 func TestANewInstanceWithSeedsInOtherZonesBecomesKnownToAll(t *testing.T) {
-	if racedetector.On {
+	if racedetector.Enabled {
 		t.Skip("too many instances for the race detector; CI runs them without it")
 	}
 	runFleet(t, manyInstanceSizes[0], func(f *fleet) {
--- a/edge/poison_test.go
+++ b/edge/poison_test.go
@@ -61,7 +61,7 @@
 // A restarted instance has lost all that it knew.
 func TestARestartedInstanceReceivesCrashes(t *testing.T) {
 	for _, size := range []int{3, 8, 58} {
-		if racedetector.On && size > 8 {
+		if racedetector.Enabled && size > 8 {
 			continue
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -85,7 +85,7 @@
 // Links may be cut, and instances suspended, for longer than crashes are sent again.
 func TestMissedCrashesAreReceivedLater(t *testing.T) {
 	for _, size := range []int{8, 58} {
-		if racedetector.On && size > 8 {
+		if racedetector.Enabled && size > 8 {
 			continue
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) { runFleet(t, size, func(f *fleet) { testMissedIsReceived(t, f) }) })
--- a/edge/silence_test.go
+++ b/edge/silence_test.go
@@ -39,7 +39,7 @@
 func forSizes(t *testing.T, sizes []int, test func(t *testing.T, f *fleet)) {
 	t.Helper()
 	for _, size := range sizes {
-		if racedetector.On && size*goroutinesOfInstance > racedetector.MostGoroutines {
+		if racedetector.Enabled && size*goroutinesOfInstance > racedetector.MaxGoroutines {
 			continue
 		}
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
--- a/edge/teams_test.go
+++ b/edge/teams_test.go
@@ -198,7 +198,7 @@
 // between two digests then says little about the next. A team that requests less than its rate is
 // served all the same.
 func TestATeamIsServedWhereDigestsAreRare(t *testing.T) {
-	if racedetector.On {
+	if racedetector.Enabled {
 		t.Skip("too many instances for the race detector; CI runs them without it")
 	}
 	config := DefaultConfig()
--- a/edge/uses_test.go
+++ b/edge/uses_test.go
@@ -38,7 +38,7 @@
 // withManyServers runs a test on instances that use subsets of many servers in three zones.
 func withManyServers(t *testing.T, test func(f *fleet)) {
 	t.Helper()
-	if racedetector.On {
+	if racedetector.Enabled {
 		t.Skip("too many goroutines for the race detector")
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -297,7 +297,7 @@
 // Of instances that start together, for the first time or after all were lost, only few read the full
 // list.
 func TestFewInstancesReadTheFullListAtTheStart(t *testing.T) {
-	if racedetector.On {
+	if racedetector.Enabled {
 		t.Skip("too many goroutines for the race detector")
 	}
 	for name, first := range map[string]bool{"first start": true, "after all were lost": false} {
--- a/forward/crowd_teams_test.go
+++ b/forward/crowd_teams_test.go
@@ -73,8 +73,8 @@
 	}
 	before, allBefore := served(noYield)
 	after, allAfter := served(DefaultConfig())
-	t.Logf("in time: quiet team %.3f, all %.3f; without TeamYield %.3f, %.3f", after, allAfter, before, allBefore)
+	t.Logf("in time: quiet team %.3f, all %.3f; without TeamHeadroom %.3f, %.3f", after, allAfter, before, allBefore)
 	if after <= before || after <= allAfter {
-		t.Error("the quiet team does no better than without TeamYield, or than all requests")
+		t.Error("the quiet team does no better than without TeamHeadroom, or than all requests")
 	}
 }
--- a/forward/flow.go
+++ b/forward/flow.go
@@ -263,7 +263,7 @@
 	if f.team != nil {
 		f.Metrics.TeamEnded(f.team.Name, outcome, why)
 	}
-	f.Metrics.Took(service, clock.Since(f.request.Arrived))
+	f.Metrics.ObserveDuration(service, clock.Since(f.request.Arrived))
 	f.log(service, outcome, status, why, detail)
 }
 
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -104,7 +104,7 @@
 	LastEvent   string
 }
 
-// Backends sends requests to backend servers. An error is a *NotRun if the request certainly
+// Backends sends requests to backend servers. An error is a *NotRunError if the request certainly
 // did not run. After any other error the server may have run it.
 type Backends interface {
 	// Call sends a plain request and reads the complete answer.
@@ -122,7 +122,7 @@
 	// cannot be reached.
 	HasExited(ctx context.Context, server *registry.Entry) bool
 	// Move copies the memory of a run to another engine. With last set the run is stopped
-	// first, and its stream ends without an end marker. If the error is a *NotRun the result
+	// first, and its stream ends without an end marker. If the error is a *NotRunError the result
 	// may be set nevertheless: then the run has stopped, and its memory is kept at the engine
 	// where it ran.
 	Move(ctx context.Context, from, to *registry.Entry, r *Request, last bool) (PrefillHandle, error)
--- a/forward/memory.go
+++ b/forward/memory.go
@@ -189,7 +189,7 @@
 // logLeak counts and logs a resource that could not be released. It expires by itself.
 func (g *generation) logLeak(what string, server *registry.Entry, err error) {
 	if err != nil {
-		g.Metrics.NotReturned(what)
+		g.Metrics.NotReleased(what)
 		logNotReleased(g.request.ID, what, server.ID, err)
 	}
 }
--- a/forward/suspect.go
+++ b/forward/suspect.go
@@ -111,7 +111,7 @@
 			continue
 		}
 		klog.InfoS("Server process exited while it ran requests", "server", entry.Run(), "service", entry.Service, "address", entry.Address, "why", why)
-		g.Metrics.ServerEnded(entry.Service)
+		g.Metrics.ServerExited(entry.Service)
 		g.Poison.Crashed(entry.Run(), clock.Now())
 		return
 	}
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -53,7 +53,7 @@
 	// sender knows. Nil means never.
 	TableContactAge   *time.Duration `cbor:"6,keyasint,omitempty"`
 	ServersContactAge *time.Duration `cbor:"7,keyasint,omitempty"`
-	// Hubs is set by senders that use hubs. Want requests that the receiver act as the
+	// Hubs is set by senders that use hubs. RequestHub requests that the receiver act as the
 	// sender's hub, which means that it sends a digest with each heartbeat for a while.
 	Hubs       bool `cbor:"8,keyasint,omitempty"`
 	RequestHub bool `cbor:"9,keyasint,omitempty"`
@@ -102,14 +102,14 @@
 	// Summed is set if Loads holds sums of loads for some of the servers. The sums cover
 	// the instances of the hub's zone if Zone is set, and otherwise all instances, including
 	// the receiver. The receiver keeps the sums of servers that are not in Loads. The same
-	// sums go to many receivers, so Loads is encoded once. Echo is the receiver's uptime when
+	// sums go to many receivers, so Loads is encoded once. ReceiverUptime is the receiver's uptime when
 	// it sent the last of its heartbeats that the sums include.
 	Summed         bool          `cbor:"1,keyasint,omitempty"`
 	Zone           bool          `cbor:"2,keyasint,omitempty"`
 	Loads          EncodedLoads  `cbor:"3,keyasint,omitempty"`
 	ReceiverUptime time.Duration `cbor:"8,keyasint,omitempty"`
 	// Observations are states of siblings. They are the changes of the hub's change log
-	// after number After up to number Upto. If Upto is 0, they are independent of it.
+	// after number After up to number To. If To is 0, they are independent of it.
 	Observations []Observation `cbor:"4,keyasint,omitempty"`
 	After        uint64        `cbor:"5,keyasint,omitempty"`
 	To           uint64        `cbor:"6,keyasint,omitempty"`
--- a/instance/cells_test.go
+++ b/instance/cells_test.go
@@ -164,7 +164,7 @@
 // regionSizes returns the numbers of instances to test. The larger region runs
 // about 700 goroutines and is left out under the race detector.
 func regionSizes() []int {
-	if racedetector.On {
+	if racedetector.Enabled {
 		return []int{8}
 	}
 	return []int{8, 80}
--- a/instance/golden_test.go
+++ b/instance/golden_test.go
@@ -77,7 +77,7 @@
 // the table still has its row.
 func TestSessionEngineLeaves(t *testing.T) {
 	runSession(t, func(s *session) {
-		s.farm.Engine(decodeOne).Faults.Leaving.Store(true)
+		s.farm.Engine(decodeOne).Faults.Draining.Store(true)
 		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 10, nil)
 		time.Sleep(2 * time.Second)
 		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 10, nil)
@@ -237,8 +237,8 @@
 // refused at once, not only when its first token is due.
 func TestSessionNobodyToDecode(t *testing.T) {
 	runSession(t, func(s *session) {
-		s.farm.Engine(decodeOne).Faults.Leaving.Store(true)
-		s.farm.Engine(decodeTwo).Faults.Leaving.Store(true)
+		s.farm.Engine(decodeOne).Faults.Draining.Store(true)
+		s.farm.Engine(decodeTwo).Faults.Draining.Store(true)
 		time.Sleep(2 * time.Second)
 		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 10, nil)
 	})
--- a/instance/orders_test.go
+++ b/instance/orders_test.go
@@ -68,7 +68,7 @@
 		e := s.farm.Engine(address)
 		ledger := e.Ledger()
 		s.recordf("engine %s has %q: %d orders taken, %d stale refused, %d stale taken",
-			address, e.Weights(), ledger.Orders, ledger.StaleRefused, ledger.StaleTaken)
+			address, e.Weights(), ledger.Orders, ledger.StaleRefused, ledger.StaleAccepted)
 	}
 }
 
--- a/instance/pairs_test.go
+++ b/instance/pairs_test.go
@@ -26,7 +26,7 @@
 	{"engine crashes", func(p *faultSession) { p.farm.Engine(decodeOne).Crash() }},
 	{"prefill engine crashes", func(p *faultSession) { p.farm.Engine(prefillAddress).Crash() }},
 	{"engine down", func(p *faultSession) { p.forTwoSeconds(p.farm.Engine(decodeOne).Faults.Down.Store) }},
-	{"engine leaves", func(p *faultSession) { p.forTwoSeconds(p.farm.Engine(decodeOne).Faults.Leaving.Store) }},
+	{"engine leaves", func(p *faultSession) { p.forTwoSeconds(p.farm.Engine(decodeOne).Faults.Draining.Store) }},
 	{"transfer stalls", func(p *faultSession) { p.farm.Engine(decodeOne).Faults.StallImports.Add(2) }},
 	{"stream breaks", func(p *faultSession) { p.farm.Engine(decodeOne).Faults.BreakStreams.Add(2) }},
 	{"tokens repeat and mix", func(p *faultSession) {
@@ -178,8 +178,8 @@
 
 // maxConcurrentPairs bounds how many pairs run at a time.
 func maxConcurrentPairs() int {
-	if racedetector.On {
-		return racedetector.MostGoroutines / goroutinesPerPair
+	if racedetector.Enabled {
+		return racedetector.MaxGoroutines / goroutinesPerPair
 	}
 	return len(faults)
 }
--- a/instance/unknowns_test.go
+++ b/instance/unknowns_test.go
@@ -26,7 +26,7 @@
 // with neither.
 func TestSessionShareOfUnknowns(t *testing.T) {
 	runSession(t, func(s *session) {
-		s.plain.Took = 20 * time.Millisecond
+		s.plain.CallDuration = 20 * time.Millisecond
 		for _, witnessed := range []bool{true, false} {
 			if s.nodes["sabana-1"] == nil {
 				s.start("sabana-1", "sabana")
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -298,7 +298,7 @@
 		{candidates: 2, depth: 10, restores: 2, restarts: 1, inFlight: 2},
 		{candidates: 3, depth: 9, restores: 1, restarts: 0, inFlight: 2},
 	} {
-		if racedetector.On {
+		if racedetector.Enabled {
 			// The search runs in one goroutine. CI runs the full depth without the
 			// race detector.
 			bounds.depth -= 3
--- a/load/plan.go
+++ b/load/plan.go
@@ -20,10 +20,10 @@
 	Service   string
 	// MedianPrompt is the median length of a prompt in tokens. Lengths are
 	// log-normal: Spread is the standard deviation of their logarithm, and
-	// MostPrompt is the maximum.
+	// MaxPrompt is the maximum.
 	MedianPrompt float64
 	Spread       float64
-	MostPrompt   int
+	MaxPrompt    int
 	// MeanAnswer is the mean length of an answer in tokens. Lengths are uniform
 	// from half to one and a half times the mean.
 	MeanAnswer int
@@ -32,21 +32,21 @@
 	Templates      int
 	TemplateTokens int
 	Teams          []string
-	// Flood is the fraction of the requests that the first team sends in
+	// FirstTeamExtra is the fraction of the requests that the first team sends in
 	// addition to its equal part of the remaining requests.
-	Flood float64
+	FirstTeamExtra float64
 	// CancelShare is the fraction of model requests that their callers cancel.
 	CancelShare float64
 }
 
 // Arrival is one planned request.
 type Arrival struct {
-	At        time.Duration
-	Plain     bool
-	Once      bool
-	Prompt    string
-	MaxTokens int
-	Team      string
+	At            time.Duration
+	Plain         bool
+	NotIdempotent bool
+	Prompt        string
+	MaxTokens     int
+	Team          string
 	// CancelAfter, if not 0, is the time after which the caller cancels.
 	CancelAfter time.Duration
 }
@@ -72,17 +72,17 @@
 
 func (p Profile) arrival(at time.Duration, templates []string, random *rand.Rand) Arrival {
 	a := Arrival{At: at, Team: p.Teams[random.IntN(len(p.Teams))]}
-	if p.Flood > 0 && random.Float64() < p.Flood {
+	if p.FirstTeamExtra > 0 && random.Float64() < p.FirstTeamExtra {
 		a.Team = p.Teams[0]
 	}
 	if random.Float64()*(p.Rate+p.PlainRate) >= p.Rate {
 		a.Plain = true
-		a.Once = random.IntN(2) == 0
+		a.NotIdempotent = random.IntN(2) == 0
 		return a
 	}
 	a.MaxTokens = p.MeanAnswer/2 + random.IntN(p.MeanAnswer+1)
 	tokens := int(p.MedianPrompt * math.Exp(p.Spread*random.NormFloat64()))
-	a.Prompt = prompt(templates[random.IntN(len(templates))], min(max(tokens, 16), p.MostPrompt), random)
+	a.Prompt = prompt(templates[random.IntN(len(templates))], min(max(tokens, 16), p.MaxPrompt), random)
 	if random.Float64() < p.CancelShare {
 		a.CancelAfter = time.Duration(random.Int64N(int64(maxCancelAfter)))
 	}
--- a/load/run.go
+++ b/load/run.go
@@ -32,9 +32,9 @@
 	Targets  Targets
 	// Callers send the requests in turn. Each keeps its own instance address.
 	Callers []*client.Client
-	// Answer, if not nil, returns the expected answer to a prompt, cut off after
+	// ExpectedAnswer, if not nil, returns the expected answer to a prompt, cut off after
 	// a number of tokens.
-	Answer func(prompt string, tokens int) string
+	ExpectedAnswer func(prompt string, tokens int) string
 	// Progress, if not nil, is called whenever a request has ended.
 	Progress func(ended, total int)
 }
@@ -120,8 +120,8 @@
 
 func (s *session) sendPlain(ctx context.Context, from *client.Client, arrival Arrival) {
 	call := client.Call{Service: s.options.Profile.Service, Method: http.MethodGet, Path: "/lookup", Team: arrival.Team}
-	if arrival.Once {
-		call.Method, call.Path, call.Once = http.MethodPost, "/hold", true
+	if arrival.NotIdempotent {
+		call.Method, call.Path, call.WithOperationID = http.MethodPost, "/hold", true
 	}
 	result := from.Do(ctx, call)
 	s.mu.Lock()
@@ -149,9 +149,9 @@
 	entry.Wrong = s.wrongAnswer(arrival, result)
 	if result.Outcome == reason.Done {
 		s.report.FirstToken.RecordValue(result.FirstToken.Microseconds())
-		s.report.BetweenToken.RecordValue(result.Between.Microseconds())
+		s.report.BetweenToken.RecordValue(result.TokenInterval.Microseconds())
 		targets := s.options.Targets
-		entry.Good = result.FirstToken <= targets.FirstToken && result.Between <= targets.BetweenTokens
+		entry.Good = result.FirstToken <= targets.FirstToken && result.TokenInterval <= targets.BetweenTokens
 	}
 	s.addEntry(entry)
 }
@@ -159,7 +159,7 @@
 // wrongAnswer reports whether a complete answer differs from the expected one, or
 // a partial answer from the beginning of the expected one.
 func (s *session) wrongAnswer(arrival Arrival, result client.Result) bool {
-	if s.options.Answer == nil || result.Tokens == 0 {
+	if s.options.ExpectedAnswer == nil || result.Tokens == 0 {
 		return false
 	}
 	if result.Tokens > arrival.MaxTokens {
@@ -168,7 +168,7 @@
 	if result.Outcome == reason.Done && result.Tokens != arrival.MaxTokens {
 		return true
 	}
-	return result.Text != s.options.Answer(arrival.Prompt, result.Tokens)
+	return result.Text != s.options.ExpectedAnswer(arrival.Prompt, result.Tokens)
 }
 
 func (s *session) addEntry(entry Entry) {
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -115,39 +115,39 @@
 // Dropped counts an answer or a token that was dropped.
 func (s *Set) Dropped(why reason.Reason) { s.dropped.WithLabelValues(string(why)).Inc() }
 
-// NotReturned counts a reservation or another resource at a backend server that
+// NotReleased counts a reservation or another resource at a backend server that
 // could not be released. The label what is its kind.
-func (s *Set) NotReturned(what string) { s.notReturned.WithLabelValues(what).Inc() }
+func (s *Set) NotReleased(what string) { s.notReturned.WithLabelValues(what).Inc() }
 
 // StoreCalled counts a call to the platform's store.
 func (s *Set) StoreCalled(call, outcome string) { s.storeCalls.WithLabelValues(call, outcome).Inc() }
 
-// ServerEnded counts a backend server whose process exited while it ran requests
+// ServerExited counts a backend server whose process exited while it ran requests
 // of this instance.
-func (s *Set) ServerEnded(service string) { s.serverExits.WithLabelValues(service).Inc() }
+func (s *Set) ServerExited(service string) { s.serverExits.WithLabelValues(service).Inc() }
 
 // Withheld counts a request that was not logged because of the limit of log lines.
 func (s *Set) Withheld() { s.withheld.Inc() }
 
-// Watch registers a gauge whose value is read at each scrape.
-func (s *Set) Watch(name, help string, read func() float64) {
+// RegisterGauge registers a gauge whose value is read at each scrape.
+func (s *Set) RegisterGauge(name, help string, read func() float64) {
 	s.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Took records the duration of a request from its arrival to its end.
-func (s *Set) Took(service string, elapsed time.Duration) {
+// ObserveDuration records the duration of a request from its arrival to its end.
+func (s *Set) ObserveDuration(service string, elapsed time.Duration) {
 	s.requestSeconds.WithLabelValues(service).Observe(elapsed.Seconds())
 }
 
-// CountStrangers registers a counter of the sibling connections that were rejected
+// CountRejectedPeers registers a counter of the sibling connections that were rejected
 // because the client had no valid certificate.
-func (s *Set) CountStrangers(count func() int64) {
+func (s *Set) CountRejectedPeers(count func() int64) {
 	s.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Namespace: namespace, Name: "peer_strangers_total", Help: "Sibling connections refused for want of a valid key.",
 	}, func() float64 { return float64(count()) }))
 }
 
-// Count registers a counter whose value is read at each scrape.
-func (s *Set) Count(name, help string, read func() float64) {
+// RegisterCounter registers a counter whose value is read at each scrape.
+func (s *Set) RegisterCounter(name, help string, read func() float64) {
 	s.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
--- a/operation/home.go
+++ b/operation/home.go
@@ -95,7 +95,7 @@
 	h.records[text] = record
 }
 
-// TakeAnswer removes and returns an answer that Keep has stored.
+// TakeAnswer removes and returns an answer that StoreAnswer has stored.
 func (h *Home) TakeAnswer(id ID) (answer any, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/peer/message.go
+++ b/peer/message.go
@@ -86,7 +86,7 @@
 	Operation string `cbor:"1,keyasint"`
 }
 
-// OperationAnswer answers AskOperation.
+// OperationAnswer answers OperationRequest.
 type OperationAnswer struct {
 	Status operation.Status `cbor:"1,keyasint"`
 }
@@ -96,7 +96,7 @@
 	RequestID string `cbor:"1,keyasint"`
 }
 
-// TraceAnswer answers AskTrace. It is empty when the trace is not kept.
+// TraceAnswer answers TraceRequest. It is empty when the trace is not kept.
 type TraceAnswer struct {
 	JSON []byte `cbor:"1,keyasint,omitempty"`
 }
@@ -106,7 +106,7 @@
 	From uint64 `cbor:"1,keyasint"`
 }
 
-// Records answers AskRecords. When the requested records are no longer kept,
+// Records answers RecordsRequest. When the requested records are no longer kept,
 // Snapshot holds the full table and its fold state instead.
 type Records struct {
 	Next    uint64   `cbor:"1,keyasint"`
@@ -121,7 +121,7 @@
 	Member operation.Member `cbor:"1,keyasint"`
 }
 
-// LastContact answers AskHeard.
+// LastContact answers LastContactRequest.
 type LastContact struct {
 	Known   bool          `cbor:"1,keyasint,omitempty"`
 	Silence time.Duration `cbor:"2,keyasint,omitempty"`
@@ -139,7 +139,7 @@
 	Claims []Claim          `cbor:"2,keyasint"`
 }
 
-// Claims answers AskClaims.
+// Claims answers ClaimsRequest.
 type Claims struct {
 	// Home is the member that answers. A later run of the home's process
 	// doesn't know the attempts of an earlier run.
--- a/poison/crowd_test.go
+++ b/poison/crowd_test.go
@@ -291,7 +291,7 @@
 	}
 	for _, config := range configs {
 		for _, poisons := range []int{1, 3, 20} {
-			if racedetector.On && config.instances > 8 {
+			if racedetector.Enabled && config.instances > 8 {
 				continue
 			}
 			config.poisons = poisons
--- a/poison/tracker_test.go
+++ b/poison/tracker_test.go
@@ -64,7 +64,7 @@
 	tracker := newTestTracker()
 	for i := range 5 {
 		if first := tracker.ConnectionBroke(fmt.Sprint("s", i), request(7), start, start); !first {
-			t.Error("Broke did not ask for a check of the server")
+			t.Error("ConnectionBroke did not request a check of the server")
 		}
 	}
 	tracker.Tick(start.Add(10 * time.Second))
@@ -72,7 +72,7 @@
 		tracker.Crashed(fmt.Sprint("s", i), start.Add(10*time.Second))
 	}
 	if got := tracker.State(request(7)); got != Clear || tracker.HasRecords() {
-		t.Errorf("the request is %s, Remembers() = %t", got, tracker.HasRecords())
+		t.Errorf("the request is %s, HasRecords() = %t", got, tracker.HasRecords())
 	}
 }
 
--- a/racedetector/on.go
+++ b/racedetector/on.go
@@ -2,5 +2,5 @@
 
 package racedetector
 
-// On is whether the race detector is enabled.
-const On = true
+// Enabled is whether the race detector is enabled.
+const Enabled = true
--- a/racedetector/racedetector.go
+++ b/racedetector/racedetector.go
@@ -2,7 +2,7 @@
 // size of test that it supports.
 package racedetector
 
-// MostGoroutines is the approximate number of goroutines that a test on a virtual clock
+// MaxGoroutines is the approximate number of goroutines that a test on a virtual clock
 // may run at a time under the race detector. The detector has 255 slots for running
 // goroutines. When it takes the slot of a goroutine of such a test, it ends the process
 // ("ThreadSanitizer: CHECK failed: tsan_rtl.cpp:346", Go 1.26.8). A program of forty
@@ -15,4 +15,4 @@
 // fail in this way too, in one of eight runs of all tests on a loaded machine. Timers
 // without channels don't avoid it: with them, two of three runs of a package failed in
 // (*timer).modify.
-const MostGoroutines = 200
+const MaxGoroutines = 200
--- a/registry/model_test.go
+++ b/registry/model_test.go
@@ -160,7 +160,7 @@
 // from an older copy.
 func TestNoOrderOfStepsRevivesDepartedRuns(t *testing.T) {
 	depth := 7
-	if racedetector.On {
+	if racedetector.Enabled {
 		depth = 5 // The search runs in a single goroutine, so the race detector only slows it down.
 	}
 	orders := 0
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -200,7 +200,7 @@
 }
 
 // SetFilter drops all servers whose entries do not satisfy keep, and ignores such entries
-// until the next Take.
+// until the next ResetWithFilter.
 func (r *Registry) SetFilter(keep func(*Entry) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -228,7 +228,7 @@
 }
 
 // ResetWithFilter is like Reset, but first changes which entries the registry keeps. The list must
-// hold all entries that satisfy keep. A nil keep selects all. Take reports whether the list
+// hold all entries that satisfy keep. A nil keep selects all. ResetWithFilter reports whether the list
 // was applied.
 func (r *Registry) ResetWithFilter(snapshot Snapshot, keep func(*Entry) bool, now time.Time) bool {
 	r.mu.Lock()
--- a/request/life.go
+++ b/request/life.go
@@ -91,7 +91,7 @@
 	Prefilling: {
 		Prefilled: Transferring, Disclaim: Reserved, Retry: Waiting, GiveUp: Ended, CallerDisconnect: CallerDisconnected,
 	},
-	// Promise reserves memory at another decode engine for the same prefill
+	// ReservationGranted reserves memory at another decode engine for the same prefill
 	// result.
 	Transferring: {
 		ReservationGranted: Transferring, Imported: Decoding, Retry: Waiting, GiveUp: Ended, CallerDisconnect: CallerDisconnected,
--- a/request/life_test.go
+++ b/request/life_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestLifeTransitions(t *testing.T) {
-	Convey("Final states have no transitions, and every other state allows Depart and GiveUp", t, func() {
+	Convey("Final states have no transitions, and every other state allows CallerDisconnect and GiveUp", t, func() {
 		for state := Received; state <= CallerDisconnected; state++ {
 			final := state == Delivered || state == Ended || state == CallerDisconnected
 			So(len(transitions[state]) == 0, ShouldEqual, final)
--- a/request/model.go
+++ b/request/model.go
@@ -27,7 +27,7 @@
 	req    Model
 	query  route.Query
 	cursor cursor
-	place  *route.AdmissionSlot
+	slot   *route.AdmissionSlot
 	// stepsBelowTop is how far the priority is below the highest priority.
 	stepsBelowTop int
 	deadline      time.Time
@@ -77,12 +77,12 @@
 	m.record.Prompt = m.query.PromptTokens
 	m.deadline = m.record.Arrived.Add(service.TTFT)
 	team := view.Teams[req.Team]
-	place, why := r.Admission.Admit(service, team)
+	slot, why := r.Admission.Admit(service, team)
 	if why != reason.None {
 		return m.giveUp(why, retryAfterBusy)
 	}
-	defer place.Release()
-	m.place = place
+	defer slot.Release()
+	m.slot = slot
 	m.stepsBelowTop = view.TopPriority - service.Priority
 	if team != nil {
 		m.stepsBelowTop -= team.Priority
--- a/request/plain.go
+++ b/request/plain.go
@@ -44,11 +44,11 @@
 	if why := r.refusal(row != nil && row.Type == table.TypePlain); why != reason.None {
 		return service.Answer{}, p.giveUp(why, 0)
 	}
-	place, why := r.Admission.Admit(row, view.Teams[req.Team])
+	slot, why := r.Admission.Admit(row, view.Teams[req.Team])
 	if why != reason.None {
 		return service.Answer{}, p.giveUp(why, retryAfterBusy)
 	}
-	defer place.Release()
+	defer slot.Release()
 	p.step(Admit, reason.None, "")
 	if why := p.recordIntent(ctx); why != reason.None {
 		return service.Answer{}, p.giveUp(why, retryAfterBusy)
--- a/request/reserve.go
+++ b/request/reserve.go
@@ -224,7 +224,7 @@
 	if m.cursor.next > 0 {
 		return 0
 	}
-	return route.Headroom(m.place.ShareRatio(), m.stepsBelowTop)
+	return route.Headroom(m.slot.ShareRatio(), m.stepsBelowTop)
 }
 
 // decodeTime is how long the decode engine is expected to hold the memory, at
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -31,7 +31,7 @@
 type Change struct {
 	Engine string
 	Role   string
-	// Prefill and Decode are the numbers of engines of each role. Want is the
+	// Prefill and Decode are the numbers of engines of each role. WantPrefill is the
 	// number of prefill engines that there should be.
 	Prefill     int
 	Decode      int
--- a/route/admission.go
+++ b/route/admission.go
@@ -21,7 +21,7 @@
 	activeShares atomic.Int64
 }
 
-// AdmissionSlot is a request's slot within the caps. Leave releases it.
+// AdmissionSlot is a request's slot within the caps. Release gives it back.
 type AdmissionSlot struct {
 	admission *Admission
 	service   *atomic.Int64
@@ -42,26 +42,26 @@
 // noTeam applies to callers without a team and to callers whose team has no row.
 var noTeam = &table.TeamView{Share: 1}
 
-// Admit reserves a place for the request, or returns the cap that refuses it.
+// Admit reserves a slot for the request, or returns the cap that refuses it.
 func (a *Admission) Admit(service *table.ServiceView, team *table.TeamView) (*AdmissionSlot, reason.Reason) {
 	if team == nil {
 		team = noTeam
 	}
-	place := &AdmissionSlot{
+	slot := &AdmissionSlot{
 		admission: a, service: counter(&a.services, service.Name), team: counter(&a.teams, team.Name), share: int64(team.Share),
 	}
-	if !a.increment(place.service, a.localLimit(service.InFlight)) {
+	if !a.increment(slot.service, a.localLimit(service.InFlight)) {
 		return nil, reason.ServiceCap
 	}
-	if !a.incrementTeam(place, a.localLimit(team.InFlight)) {
-		place.service.Add(-1)
+	if !a.incrementTeam(slot, a.localLimit(team.InFlight)) {
+		slot.service.Add(-1)
 		return nil, reason.TeamCap
 	}
 	a.total.Add(1)
-	return place, reason.None
+	return slot, reason.None
 }
 
-// Release releases the place.
+// Release releases the slot.
 func (p *AdmissionSlot) Release() {
 	p.service.Add(-1)
 	p.admission.total.Add(-1)
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -52,11 +52,11 @@
 				report.Held[ReservationKey{RequestID: fmt.Sprint(i)}] = 2
 			}
 			steward.Observe("w", report)
-			ask := Demand{ReservationKey: ReservationKey{RequestID: "r"}, Pieces: 2, TTL: time.Second}
+			demand := Demand{ReservationKey: ReservationKey{RequestID: "r"}, Pieces: 2, TTL: time.Second}
 			b.ReportAllocs()
 			for b.Loop() {
-				steward.Reserve("w", ask, now)
-				steward.Release("w", ask.ReservationKey, now)
+				steward.Reserve("w", demand, now)
+				steward.Release("w", demand.ReservationKey, now)
 				steward.Observe("w", EngineReport{TakenAt: now.Add(time.Second), Pieces: 10_000, Held: report.Held})
 			}
 		})
--- a/route/steward.go
+++ b/route/steward.go
@@ -36,7 +36,7 @@
 	TTL time.Duration
 }
 
-// Grant answers an Ask. Refused is reason.None if the reservation is granted.
+// Grant answers a Demand. Refused is reason.None if the reservation is granted.
 type Grant struct {
 	Refused reason.Reason
 	// Free is the memory left, in pieces.
@@ -99,32 +99,32 @@
 }
 
 // Reserve grants a reservation to an attempt, or renews the one that it already has.
-func (s *Steward) Reserve(worker string, ask Demand, now time.Time) Grant {
+func (s *Steward) Reserve(worker string, demand Demand, now time.Time) Grant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ledger := s.ledger(worker)
 	if ledger.report.Pieces == 0 {
 		return Grant{Refused: reason.StewardUnreached}
 	}
-	if h, ok := ledger.holds[ask.ReservationKey]; ok && h.released.IsZero() {
-		h.expires = now.Add(ask.TTL)
-		ledger.holds[ask.ReservationKey] = h
+	if h, ok := ledger.holds[demand.ReservationKey]; ok && h.released.IsZero() {
+		h.expires = now.Add(demand.TTL)
+		ledger.holds[demand.ReservationKey] = h
 		return Grant{Free: ledger.free(now), Ahead: ledger.ahead(now) - h.tokens}
 	}
-	arrival := now.Add(ask.ArrivesIn)
+	arrival := now.Add(demand.ArrivesIn)
 	grant := Grant{Free: ledger.free(arrival), Ahead: ledger.ahead(now)}
-	if grant.Free < ask.Pieces+ask.Headroom {
+	if grant.Free < demand.Pieces+demand.Headroom {
 		grant.Refused = reason.ReserveRefused
 		return grant
 	}
-	if ask.Tokens > 0 && grant.Ahead > ask.MaxTokensAhead {
+	if demand.Tokens > 0 && grant.Ahead > demand.MaxTokensAhead {
 		grant.Refused = reason.DeadlineTooClose
 		return grant
 	}
-	ledger.holds[ask.ReservationKey] = hold{
-		pieces: ask.Pieces, tokens: ask.Tokens, expires: now.Add(ask.TTL), freeAt: arrival.Add(ask.HoldFor),
+	ledger.holds[demand.ReservationKey] = hold{
+		pieces: demand.Pieces, tokens: demand.Tokens, expires: now.Add(demand.TTL), freeAt: arrival.Add(demand.HoldFor),
 	}
-	grant.Free -= ask.Pieces
+	grant.Free -= demand.Pieces
 	return grant
 }
 
--- a/route/yield_test.go
+++ b/route/yield_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestYieldGrowsWithUsedAllotment(t *testing.T) {
+func TestTeamFactorGrowsWithUsedAllotment(t *testing.T) {
 	for _, c := range []struct{ used, weight, want float64 }{
 		{0, 1, 1}, {0.5, 1, 1.5}, {1, 1, 2}, {1, 0.5, 1.5},
 		{1, 0, 1},             // switched off
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -22,8 +22,8 @@
 	// LinkBytesPerSecond and BytesPerToken determine the duration of a KV transfer.
 	LinkBytesPerSecond float64
 	BytesPerToken      float64
-	// Window is the lifetime of a prefill result.
-	Window time.Duration
+	// ResultLifetime is the lifetime of a prefill result.
+	ResultLifetime time.Duration
 	// ReportLag is the maximum age of a load report.
 	ReportLag time.Duration
 	// CachedPrefixes is the maximum number of entries in the prefix cache.
@@ -46,7 +46,7 @@
 		StepEach:           800 * time.Microsecond,
 		LinkBytesPerSecond: 10e9,
 		BytesPerToken:      100_000,
-		Window:             800 * time.Millisecond,
+		ResultLifetime:     800 * time.Millisecond,
 		ReportLag:          200 * time.Millisecond,
 		CachedPrefixes:     512,
 		Fences:             true,
@@ -103,13 +103,13 @@
 	// ran is the set of ids of the requests that the engine started to run.
 	ran map[string]bool
 	// holds is the history of memory reservations.
-	holds []Hold
+	holds []Reservation
 	// weights is the loaded version of the weights, loading the version that is
 	// being loaded, and token the highest fencing token received.
 	weights string
 	loading string
 	token   uint64
-	// drainingSince is the time at which Leaving was first observed as set.
+	// drainingSince is the time at which Draining was first observed as set.
 	drainingSince time.Time
 }
 
@@ -176,7 +176,7 @@
 		e.report = engine.Load{
 			Running: len(e.held) + len(e.results), WaitingTokens: e.waiting,
 			Pieces: e.config.Pieces, FreePieces: e.freeLocked(),
-			Draining: e.Faults.Leaving.Load(), Held: e.heldLocked(), Weights: e.weights, Loading: e.loading,
+			Draining: e.Faults.Draining.Load(), Held: e.heldLocked(), Weights: e.weights, Loading: e.loading,
 		}
 	}
 	return e.report
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -71,7 +71,7 @@
 	}
 	e.held[key] = j
 	j.holdIndex = len(e.holds)
-	e.holds = append(e.holds, Hold{Prompt: PromptHash(j.prompt), Pieces: j.pieces, From: time.Now()})
+	e.holds = append(e.holds, Reservation{Prompt: PromptHash(j.prompt), Pieces: j.pieces, From: time.Now()})
 	return nil
 }
 
@@ -80,7 +80,7 @@
 // between two drains that would show that the first has ended.
 func (e *Engine) noteDrainingLocked(now time.Time) {
 	switch {
-	case !e.Faults.Leaving.Load():
+	case !e.Faults.Draining.Load():
 		e.drainingSince = time.Time{}
 	case e.drainingSince.IsZero():
 		e.drainingSince = now
@@ -88,14 +88,14 @@
 }
 
 // refusesWorkLocked reports whether the engine refuses new work because it is
-// draining. It counts work that arrives after LeavingGrace as late.
+// draining. It counts work that arrives after DrainGrace as late.
 func (e *Engine) refusesWorkLocked() bool {
 	now := time.Now()
 	e.noteDrainingLocked(now)
 	if e.drainingSince.IsZero() {
 		return false
 	}
-	if now.Sub(e.drainingSince) > LeavingGrace {
+	if now.Sub(e.drainingSince) > DrainGrace {
 		e.ledger.LateOrders++
 	}
 	return true
--- a/standin/engine_faults.go
+++ b/standin/engine_faults.go
@@ -9,8 +9,8 @@
 type Faults struct {
 	// Down makes the engine unreachable.
 	Down atomic.Bool
-	// Leaving makes the engine report a drain.
-	Leaving atomic.Bool
+	// Draining makes the engine report a drain.
+	Draining atomic.Bool
 	// LoseCancelReplies is the number of cancels that take effect without an
 	// answer.
 	LoseCancelReplies atomic.Int64
--- a/standin/engine_ledger.go
+++ b/standin/engine_ledger.go
@@ -23,20 +23,20 @@
 	HeldRequests  []engine.Held    `json:"held_requests"`
 	// OverCommitted counts orders that were refused for lack of memory.
 	OverCommitted int64 `json:"over_committed"`
-	// LateOrders counts new work that arrived more than LeavingGrace after the
+	// LateOrders counts new work that arrived more than DrainGrace after the
 	// engine started to report a drain.
 	LateOrders int64 `json:"late_orders"`
-	// Orders counts the accepted orders to load weights. StaleTaken counts
+	// Orders counts the accepted orders to load weights. StaleAccepted counts
 	// accepted orders with a fencing token lower than an earlier one, and
 	// StaleRefused orders that were refused for that reason.
-	Orders       int64 `json:"orders"`
-	StaleTaken   int64 `json:"stale_taken"`
-	StaleRefused int64 `json:"stale_refused"`
+	Orders        int64 `json:"orders"`
+	StaleAccepted int64 `json:"stale_taken"`
+	StaleRefused  int64 `json:"stale_refused"`
 }
 
-// LeavingGrace is the time after the first report of a drain in which an engine
+// DrainGrace is the time after the first report of a drain in which an engine
 // may still be sent new work (the guarantee says "after a few seconds").
-const LeavingGrace = 3 * time.Second
+const DrainGrace = 3 * time.Second
 
 // Causes of wasted prefill.
 const (
@@ -46,9 +46,9 @@
 	wasteNoAnswer  = "no_answer"
 )
 
-// Hold is the reservation of one request in an engine's memory. Until is zero
+// Reservation is the reservation of one request in an engine's memory. Until is zero
 // until the memory is released.
-type Hold struct {
+type Reservation struct {
 	Prompt uint64
 	Pieces int
 	From   time.Time
@@ -59,11 +59,11 @@
 // reservations.
 func PromptHash(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
-// Holds returns the history of the engine's memory reservations.
-func (e *Engine) Holds() []Hold {
+// Reservations returns the history of the engine's memory reservations.
+func (e *Engine) Reservations() []Reservation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Hold(nil), e.holds...)
+	return append([]Reservation(nil), e.holds...)
 }
 
 // Ledger returns a copy of the ledger.
--- a/standin/engine_orders.go
+++ b/standin/engine_orders.go
@@ -18,7 +18,7 @@
 		return engine.ErrStale
 	}
 	if stale {
-		e.ledger.StaleTaken++
+		e.ledger.StaleAccepted++
 	}
 	e.token = max(e.token, order.Token)
 	e.ledger.Orders++
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -34,10 +34,10 @@
 	}
 	e.ledger.Prefills++
 	e.ledger.PrefillTokens += int64(tokens)
-	time.AfterFunc(e.config.Window, func() { e.expire(key, j) })
+	time.AfterFunc(e.config.ResultLifetime, func() { e.expire(key, j) })
 	return engine.PrefillResult{
 		Handle: order.RequestID, PromptTokens: tokens, CachedTokens: cached,
-		WindowMillis: e.config.Window.Milliseconds(),
+		WindowMillis: e.config.ResultLifetime.Milliseconds(),
 	}, nil
 }
 
--- a/standin/leaving_test.go
+++ b/standin/leaving_test.go
@@ -20,18 +20,18 @@
 				t.Fatalf("order %s: accepted by a draining engine", id)
 			}
 		}
-		e.Faults.Leaving.Store(true)
+		e.Faults.Draining.Store(true)
 		order("first")
-		time.Sleep(LeavingGrace + time.Second)
+		time.Sleep(DrainGrace + time.Second)
 		order("late")
 		if got := e.Ledger().LateOrders; got != 1 {
 			t.Fatalf("late orders: got %d, want 1", got)
 		}
-		e.Faults.Leaving.Store(false)
+		e.Faults.Draining.Store(false)
 		time.Sleep(time.Second)
 		e.Load()
 		time.Sleep(time.Second)
-		e.Faults.Leaving.Store(true)
+		e.Faults.Draining.Store(true)
 		order("second drain")
 		if got := e.Ledger().LateOrders; got != 1 {
 			t.Fatalf("late orders after an order at the start of the second drain: got %d, want 1", got)
--- a/standin/list.go
+++ b/standin/list.go
@@ -31,8 +31,8 @@
 	l.afterLag(func() { l.entries[entry.Name] = entry })
 }
 
-// Leaving marks an instance as draining after the lag.
-func (l *List) Leaving(name string) {
+// MarkDraining marks an instance as draining after the lag.
+func (l *List) MarkDraining(name string) {
 	l.afterLag(func() {
 		if entry, listed := l.entries[name]; listed {
 			entry.State = instancelist.Draining
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -18,8 +18,8 @@
 // Plain is a stand-in for the servers of a plain service. They share one ledger,
 // which counts how often each operation ran.
 type Plain struct {
-	// Took is the duration of a call.
-	Took time.Duration
+	// CallDuration is the duration of a call.
+	CallDuration time.Duration
 	// LoseReplies is the number of calls that run without an answer.
 	LoseReplies atomic.Int64
 	// Refuse is the number of calls that are refused without being run.
@@ -32,7 +32,7 @@
 
 // NewPlain returns a service with the given duration of a call.
 func NewPlain(took time.Duration) *Plain {
-	return &Plain{Took: took, runs: make(map[string]int), down: make(map[string]bool)}
+	return &Plain{CallDuration: took, runs: make(map[string]int), down: make(map[string]bool)}
 }
 
 // SetDown makes the server at an address unreachable if down is set, and reachable
@@ -70,7 +70,7 @@
 	p.runs[operation]++
 	runs := p.runs[operation]
 	p.mu.Unlock()
-	if !wait.For(ctx, p.Took) || consume(&p.LoseReplies) {
+	if !wait.For(ctx, p.CallDuration) || consume(&p.LoseReplies) {
 		return service.Answer{}, service.ErrLost
 	}
 	body := fmt.Sprintf("{\"operation\":%q,\"runs\":%d}\n", operation, runs)
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -158,7 +158,7 @@
 	}
 	near := deploymentOf(5, config.MaxForAll+1, 100)
 	if !config.Fits(nil, near.subsetOf("i", "z1"), near.census()) {
-		t.Error("a subset replaces all servers after one server more than AllAtMost")
+		t.Error("a subset replaces all servers after one server more than MaxForAll")
 	}
 }
 
--- a/table/fold.go
+++ b/table/fold.go
@@ -40,7 +40,7 @@
 	// snapshot may be written to the log.
 	pending *Snapshot
 	// verifiedNext is the highest Next of the valid snapshots seen on the log.
-	// badRecords counts invalid records, as returned by Bad.
+	// badRecords counts invalid records, as returned by BadRecords.
 	verifiedNext uint64
 	badRecords   int
 	// leases holds the state of each lease after its last valid claim, by key.
@@ -92,7 +92,7 @@
 
 // Add folds the record at offset. A record that was folded before is ignored.
 // An offset beyond Next is an error, since a record would be skipped. A record
-// that cannot be decoded is counted by Bad and skipped, on every instance alike.
+// that cannot be decoded is counted by BadRecords and skipped, on every instance alike.
 func (f *Fold) Add(offset uint64, data []byte) error {
 	if offset < f.next {
 		return nil
--- a/trial/bench_test.go
+++ b/trial/bench_test.go
@@ -17,7 +17,7 @@
 // instance. The ratio is the time through the instance over the direct time.
 func BenchmarkOverhead(b *testing.B) {
 	deployment := Deployments["cooperativa"]
-	deployment.PlainTook = 0
+	deployment.PlainDuration = 0
 	t, err := Start(Options{Deployment: deployment, Instances: 2, Seed: 1, Protect: request.AllProtections()})
 	if err != nil {
 		b.Fatal(err)
@@ -56,8 +56,8 @@
 }
 
 func (t *Trial) plainThrough(once bool) func(int) bool {
-	c := client.NewWith(t.callerAddresses, "sabana")
-	call := client.Call{Service: "plate-desk", Method: "GET", Path: "/lookup", Once: once}
+	c := client.NewWithAddresses(t.callerAddresses, "sabana")
+	call := client.Call{Service: "plate-desk", Method: "GET", Path: "/lookup", WithOperationID: once}
 	return func(int) bool { return c.Do(context.Background(), call).Outcome == reason.Done }
 }
 
@@ -96,7 +96,7 @@
 }
 
 func (t *Trial) modelThrough() func(int) bool {
-	c := client.NewWith(t.callerAddresses, "sabana")
+	c := client.NewWithAddresses(t.callerAddresses, "sabana")
 	completion := client.Completion{Model: "dossier", Prompt: benchPrompt, MaxTokens: benchTokens}
 	return func(int) bool { return c.Complete(context.Background(), completion).Outcome == reason.Done }
 }
--- a/trial/deployment.go
+++ b/trial/deployment.go
@@ -27,9 +27,9 @@
 	Prefill int
 	Decode  int
 	Servers int
-	// PlainTook is the duration of a plain call.
-	PlainTook time.Duration
-	Traffic   load.Profile
+	// PlainDuration is the duration of a plain call.
+	PlainDuration time.Duration
+	Traffic       load.Profile
 }
 
 // Deployments holds the users' deployments by name. Each has nine engines and
@@ -40,10 +40,10 @@
 		Zones: []string{"sabana", "heredia", "cartago"},
 		Model: "dossier", Plain: "plate-desk",
 		Prefill: 5, Decode: 4, Servers: 3,
-		PlainTook: 5 * time.Millisecond,
+		PlainDuration: 5 * time.Millisecond,
 		Traffic: load.Profile{
 			Model: "dossier", Service: "plate-desk", Rate: 14, PlainRate: 10,
-			MedianPrompt: 2200, Spread: 0.7, MostPrompt: 24_000, MeanAnswer: 96,
+			MedianPrompt: 2200, Spread: 0.7, MaxPrompt: 24_000, MeanAnswer: 96,
 			Templates: 12, TemplateTokens: 1024,
 			Teams: []string{"counter", "notary", "dealer"}, CancelShare: 0.03,
 		},
@@ -53,10 +53,10 @@
 		Zones: []string{"sala-palermo", "sala-rosario", "sala-cordoba"},
 		Model: "assistant", Plain: "booking",
 		Prefill: 5, Decode: 4, Servers: 3,
-		PlainTook: 5 * time.Millisecond,
+		PlainDuration: 5 * time.Millisecond,
 		Traffic: load.Profile{
 			Model: "assistant", Service: "booking", Rate: 10, PlainRate: 14,
-			MedianPrompt: 3200, Spread: 0.8, MostPrompt: 32_000, MeanAnswer: 96,
+			MedianPrompt: 3200, Spread: 0.8, MaxPrompt: 32_000, MeanAnswer: 96,
 			Templates: 24, TemplateTokens: 2048,
 			Teams: []string{"parrilla", "bodegon", "cafe"}, CancelShare: 0.05,
 		},
@@ -94,13 +94,13 @@
 	return all
 }
 
-// Workers returns the names of the model engines.
-func (d Deployment) Workers() []string {
+// EngineNames returns the names of the model engines.
+func (d Deployment) EngineNames() []string {
 	return d.names(func(s backendServer) bool { return s.pool != d.plainPool() })
 }
 
-// PlainServers returns the names of the plain service's servers.
-func (d Deployment) PlainServers() []string {
+// PlainServerNames returns the names of the plain service's servers.
+func (d Deployment) PlainServerNames() []string {
 	return d.names(func(s backendServer) bool { return s.pool == d.plainPool() })
 }
 
@@ -124,9 +124,9 @@
 	return zone + "-" + strconv.Itoa(n/len(d.Zones)+1), zone
 }
 
-// FirstEdit returns the edit that writes the whole table. addresses maps the
+// InitialTableEdit returns the edit that writes the whole table. addresses maps the
 // names of backend servers to the addresses on which they listen.
-func (d Deployment) FirstEdit(addresses map[string]string) table.Edit {
+func (d Deployment) InitialTableEdit(addresses map[string]string) table.Edit {
 	edit := table.Edit{ID: "first", Author: "trial", Reason: "first table of " + d.Name}
 	set := func(kind table.Kind, row string, column table.Column, value string) {
 		key := table.RowKey{Kind: kind, Name: row}
--- a/trial/faults.go
+++ b/trial/faults.go
@@ -140,8 +140,8 @@
 
 func engineLeaving(t *Trial) {
 	e := t.randomEngine()
-	e.Faults.Leaving.Store(true)
-	time.AfterFunc(5*time.Second, func() { e.Faults.Leaving.Store(false) })
+	e.Faults.Draining.Store(true)
+	time.AfterFunc(5*time.Second, func() { e.Faults.Draining.Store(false) })
 }
 
 func logDown(t *Trial) {
@@ -184,7 +184,7 @@
 	n := t.randomNode()
 	t.mustStart(t.nextName())
 	t.remove(n)
-	t.env.list.Leaving(n.name)
+	t.env.list.MarkDraining(n.name)
 	t.background.Go(func() {
 		defer t.env.list.Remove(n.name)
 		if err := n.shutdown(); err != nil {
--- a/trial/held.go
+++ b/trial/held.go
@@ -23,9 +23,9 @@
 // heldAfter compares the callers' departures with the engines' records of held
 // memory.
 func (t *Trial) heldAfter(report *load.Report) HeldAfter {
-	holds := make(map[uint64][]standin.Hold)
+	holds := make(map[uint64][]standin.Reservation)
 	for _, engine := range t.env.engines {
-		for _, hold := range engine.Holds() {
+		for _, hold := range engine.Reservations() {
 			holds[hold.Prompt] = append(holds[hold.Prompt], hold)
 		}
 	}
@@ -60,7 +60,7 @@
 }
 
 // heldAfterGone returns how long the memory was held after the caller departed.
-func heldAfterGone(hold standin.Hold, gone time.Time) time.Duration {
+func heldAfterGone(hold standin.Reservation, gone time.Time) time.Duration {
 	until := hold.Until
 	if until.IsZero() {
 		until = time.Now()
--- a/trial/node.go
+++ b/trial/node.go
@@ -131,12 +131,12 @@
 			Weights:  weightstore.NewHTTP(o.env.platform),
 			Random:   standin.LockedRandom(o.random),
 		},
-		Limits:       caller.DefaultLimits(),
-		Tokens:       Tokens,
-		Strangers:    transport.RejectedConnections,
-		Callers:      callers,
-		Operators:    operators,
-		DrainTimeout: daemon.DefaultDrainTimeout,
+		Limits:        caller.DefaultLimits(),
+		Tokens:        Tokens,
+		RejectedPeers: transport.RejectedConnections,
+		Callers:       callers,
+		Operators:     operators,
+		DrainTimeout:  daemon.DefaultDrainTimeout,
 	})
 	n.run(o.env)
 	return n, nil
--- a/trial/protections.go
+++ b/trial/protections.go
@@ -32,9 +32,9 @@
 	return names
 }
 
-// ProtectWithout returns all protections except those in a comma-separated list
+// ProtectionsExcept returns all protections except those in a comma-separated list
 // of names.
-func ProtectWithout(list string) (request.Protections, error) {
+func ProtectionsExcept(list string) (request.Protections, error) {
 	protect := request.AllProtections()
 	if list == "" {
 		return protect, nil
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -27,9 +27,9 @@
 	// Load scales the traffic; 1 is the deployment's own rate.
 	Load   float64
 	Faults []Fault
-	// Leave, if not 0, replaces the deployment's share of callers that
+	// DisconnectShare, if not 0, replaces the deployment's share of callers that
 	// disconnect early.
-	Leave float64
+	DisconnectShare float64
 	// Protect selects the protections that are on.
 	Protect request.Protections
 	// Progress, if not nil, is called as requests end.
@@ -227,8 +227,8 @@
 	profile := t.options.Deployment.Traffic
 	profile.Rate *= t.options.Load
 	profile.PlainRate *= t.options.Load
-	if t.options.Leave > 0 {
-		profile.CancelShare = t.options.Leave
+	if t.options.DisconnectShare > 0 {
+		profile.CancelShare = t.options.DisconnectShare
 	}
 	callers := t.callers()
 	defer func() {
@@ -243,12 +243,12 @@
 		t.injectFaults(faultCtx)
 	}()
 	report := load.Run(ctx, load.Options{
-		Profile:  profile,
-		Arrivals: load.Plan(profile, t.options.Duration, t.options.Seed),
-		Targets:  load.DefaultTargets(),
-		Callers:  callers,
-		Answer:   standin.Answer,
-		Progress: t.options.Progress,
+		Profile:        profile,
+		Arrivals:       load.Plan(profile, t.options.Duration, t.options.Seed),
+		Targets:        load.DefaultTargets(),
+		Callers:        callers,
+		ExpectedAnswer: standin.Answer,
+		Progress:       t.options.Progress,
 	})
 	stopFaults()
 	<-faultsDone
@@ -260,7 +260,7 @@
 	var callers []*client.Client
 	for _, zone := range t.options.Deployment.Zones {
 		for range callersPerZone {
-			callers = append(callers, client.NewWith(t.callerAddresses, zone))
+			callers = append(callers, client.NewWithAddresses(t.callerAddresses, zone))
 		}
 	}
 	return callers
--- a/trial/world.go
+++ b/trial/world.go
@@ -42,7 +42,7 @@
 		list:       standin.NewList(listLag),
 		weights:    standin.NewWeights(map[string]int64{deployment.Model: weightsBytes}),
 		farm:       standin.NewFarm(),
-		plain:      standin.NewPlain(deployment.PlainTook),
+		plain:      standin.NewPlain(deployment.PlainDuration),
 		engines:    make(map[string]*standin.Engine),
 		addresses:  make(map[string]string),
 	}
@@ -86,7 +86,7 @@
 }
 
 func (env *environment) writeTable() error {
-	record, err := json.Marshal(env.deployment.FirstEdit(env.addresses))
+	record, err := json.Marshal(env.deployment.InitialTableEdit(env.addresses))
 	if err != nil {
 		return errors.Wrap(err, "encode first table")
 	}
