--- a/edge/answers.go
+++ b/edge/answers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// storeContact records when the store last answered requests for one kind of data, whichever
-// instance sent the request.
+// storeContact records when the store (the platform's log of the table and of the list of
+// servers) last answered requests for one kind of data, whichever instance sent the request.
 type storeContact struct {
 	mu sync.Mutex
 	// last is the time of the latest answer. It is zero before the first.
@@ -15,10 +15,10 @@
 	confirmedAt time.Time
 }
 
-// unavailableAfter is how long all instances must be without an answer for the store to count
-// as unavailable. The instances together send a request every FreshFor. Entries expire 2.4 s
-// after they can no longer be renewed: after three heartbeats of 1,200 ms, according to the
-// users' sheets, the first of which may just have been due.
+// unavailableAfter is how long all instances must be without an answer for the store to count as
+// unavailable. The instances together send a request every FreshFor. Entries expire 2.4 s after
+// they can no longer be renewed: after three heartbeats of 1,200 ms in the reference workload,
+// the first of which may just have been due.
 const unavailableAfter = 2 * time.Second
 
 // observe records an answer. complete is set if this instance's data includes everything that
--- a/edge/backpressure.go
+++ b/edge/backpressure.go
@@ -73,7 +73,7 @@
 			silent++
 		}
 	}
-	// An instance that starts while it is cut off knows others only by their addresses.
+	// An instance that starts while it is cut off knows its siblings only by their addresses.
 	named := len(in.peers.addresses(now)) + 1 - len(share.Active)
 	if silent = max(share.Silent+silent, named); len(share.Active) <= silent {
 		share.Silent = silent
@@ -84,7 +84,8 @@
 	in.Fleet.Backpressure.SetInstances(share)
 }
 
-// pruneBackpressure drops the status reports of servers that are no longer on the list.
+// pruneBackpressure drops the status reports of servers that are no longer on the list of
+// servers.
 func (in *Instance) pruneBackpressure(now time.Time) {
 	servers := in.servers.Load()
 	in.Fleet.Backpressure.Prune(func(run string) bool { return servers.ByRun[run] != nil }, now)
--- a/edge/beat.go
+++ b/edge/beat.go
@@ -11,8 +11,7 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// heartbeatLoop sends heartbeats until ctx ends, and an extra one whenever something has
-// changed.
+// heartbeatLoop sends heartbeats until ctx ends, and an extra one whenever its state has changed.
 func (in *Instance) heartbeatLoop(ctx context.Context) {
 	var announced []heartbeat.Load
 	sent, turn := time.Time{}, 0
@@ -38,11 +37,11 @@
 	}
 }
 
-// onCommitted wakes the heartbeat loop so that a change of this instance's commitments is sent
-// to its hubs. Without it they would receive the change with the next beat, and the known use
-// of engines' memory would be half a beat older. Of 3,691 streams, 3,276 were in time with
-// updates two beats old, 3,393 with updates one beat old and 3,530 with updates half a beat old
-// (TestLoadsMustBeFresh).
+// onCommitted wakes the heartbeat loop so that a change of this instance's commitments (the
+// requests and memory that it has assigned to servers) is sent to its hubs. Without it they would
+// receive the change with the next beat, and the known use of engines' memory would be half a
+// beat older. Of 3,691 streams, 3,276 were in time with updates two beats old, 3,393 with updates
+// one beat old and 3,530 with updates half a beat old (TestLoadsMustBeFresh).
 func (in *Instance) onCommitted() {
 	if !in.inMesh.Load() {
 		in.wake()
@@ -68,8 +67,8 @@
 // sent together.
 const minBeatGap = 10 * time.Millisecond
 
-// waitForBeat waits until the next beat is due or something is urgent, but at least for
-// minBeatGap or the beat pause, whichever is shorter. It returns false if ctx ended first.
+// waitForBeat waits until the next beat is due or the loop is woken, but at least for minBeatGap
+// or the beat pause, whichever is shorter. It returns false if ctx ended first.
 func (in *Instance) waitForBeat(ctx context.Context) bool {
 	quick := in.minBeatPause()
 	switch {
@@ -112,7 +111,7 @@
 }
 
 // urgentMemoryChange is the change of the memory committed at an engine that is sent to siblings
-// at once. It is one percent of an engine's memory, according to the users' sheets.
+// at once. It is one percent of an engine's memory in the reference workload.
 const urgentMemoryChange = 1000
 
 // loadsChanged reports whether loads have changed so much that siblings would decide
--- a/edge/catchup.go
+++ b/edge/catchup.go
@@ -23,8 +23,8 @@
 	Zone string `cbor:"4,keyasint,omitempty"`
 	// Shares is the subset of the servers that it uses. It is nil if none has been assigned.
 	Shares []subset.Share `cbor:"5,keyasint,omitempty"`
-	// NeedsFullList is set if it needs the full list, and Reread if it needs the list again though it has
-	// it up to Position.
+	// NeedsFullList is set if it needs the full list of servers, and Reread if it needs that list
+	// again though it has it up to Position.
 	NeedsFullList bool `cbor:"6,keyasint,omitempty"`
 	Reread        bool `cbor:"7,keyasint,omitempty"`
 }
@@ -38,7 +38,7 @@
 type Snapshot struct {
 	// Table is the configuration in force, if it is newer than the sibling's.
 	Table []byte `cbor:"1,keyasint,omitempty"`
-	// Servers is the list of backend servers, if it is newer. Part is set if it contains only
+	// Servers is the list of backend servers, if it is newer. IsSubset is set if it contains only
 	// the subset of servers that the sibling uses according to Shares.
 	Servers  *registry.Snapshot `cbor:"2,keyasint,omitempty"`
 	IsSubset bool               `cbor:"3,keyasint,omitempty"`
@@ -111,9 +111,9 @@
 	}
 }
 
-// rereadList reads the list again if this instance has the wrong part of it: only a subset
-// though it needs the full list as a hub, or a subset that no longer suits. It reports whether
-// that was due.
+// rereadList reads the list of servers again if this instance has the wrong part of it: only a
+// subset though it needs the full list as a hub, or a subset that no longer suits. It reports
+// whether that was due.
 func (in *Instance) rereadList(ctx context.Context, mine Have) bool {
 	list := in.registry.View()
 	hub := in.outgrown.Load()
--- a/edge/config.go
+++ b/edge/config.go
@@ -91,8 +91,8 @@
 	// Subset configures how many servers an instance uses where there are many.
 	Subset subset.Config
 	// ReviewEvery is the pause between two checks whether the instances' subsets still suit.
-	// FullListKeptFor is how long a former hub keeps the full list, because reading it again takes a
-	// megabyte.
+	// FullListKeptFor is how long a former hub keeps the full list of servers, because reading it
+	// again takes a megabyte.
 	ReviewEvery     time.Duration
 	FullListKeptFor time.Duration
 	// MeshAtMost is the greatest number of instances that each send their state to all others.
@@ -100,9 +100,10 @@
 	// two beats old in place of several, but it adds a beat's delay where all instances could be
 	// reached directly.
 	MeshAtMost int
-	// LongPollersWithoutHubs is how many instances leave long polls waiting at the store where there are
-	// no hubs. The others check the freshness of the data, so a second one only costs calls. With
-	// one alone, updates wait for these checks whenever it is restarted.
+	// LongPollersWithoutHubs is how many instances leave long polls waiting at the store where
+	// there are no hubs. The other instances check the freshness of the data, so a second long
+	// poller only costs calls most of the time. With a single one, updates wait for these checks
+	// whenever it is restarted.
 	LongPollersWithoutHubs int
 	// HubsPerZone is how many hubs receive the heartbeats of a zone's members. The second takes
 	// over when the first falls silent. A third would cost each member a datagram a beat.
@@ -114,9 +115,10 @@
 	KeepAliveEvery time.Duration
 	SubscribedFor  time.Duration
 	DirectSilence  time.Duration
-	// HubBeatEvery is the pause between two digests of a hub, each about 1.2 KB to every member
-	// of its zone. A shorter pause spreads the committed memory of engines sooner. At 75 ms a
-	// member receives 16 KB a second.
+	// HubBeatEvery is the pause between two hub digests (messages with the sums of all
+	// commitments and the states of siblings), each about 1.2 KB to every member of its zone. A
+	// shorter pause spreads the committed memory of engines sooner. At 75 ms a member receives 16
+	// KB a second.
 	HubBeatEvery time.Duration
 	// HubBytes bounds the bytes a second of a hub's digests. With more members or more servers
 	// the pause between digests grows, up to two thirds of HubSilence. With 100 members and 3,000
@@ -133,24 +135,24 @@
 	// HubGrace is how long an instance must have been a hub before it reports members as silent.
 	// The members need that time to choose it as their hub.
 	HubGrace time.Duration
-	// ZoneSumExpiresAfter is how long the sum of another zone is valid without renewal, and CountExpiresAfter
-	// the same for the number of instances.
+	// ZoneSumExpiresAfter is how long the sum of another zone is valid without renewal, and
+	// CountExpiresAfter the same for the number of instances.
 	ZoneSumExpiresAfter time.Duration
 	CountExpiresAfter   time.Duration
 	// LoadsAtOnce bounds the servers that a digest holds because their sums have changed, about
 	// 19 bytes each. LoadsInTurn is how many servers it holds in any case, each in its turn.
 	LoadsAtOnce int
 	LoadsInTurn int
-	// StatesAtOnce bounds the siblings in one digest, about 110 bytes each. DiscoveryAtOnce bounds the
-	// unknown addresses that are contacted at a time.
+	// StatesAtOnce bounds the siblings in one hub digest, about 110 bytes each. DiscoveryAtOnce
+	// bounds the unknown addresses that are contacted at a time.
 	StatesAtOnce    int
 	DiscoveryAtOnce int
 	// RepeatedAtOnce is how many siblings' states a digest repeats in turn, about 60 bytes each.
 	// With 295 siblings each state is repeated every 5.5 s. A subscriber keeps a wrong state until
 	// then.
 	RepeatedAtOnce int
-	// UpdatesAtMost bounds the changes of the list in one datagram, about 120 bytes each. An
-	// instance that lacks more changes requests the list.
+	// UpdatesAtMost bounds the changes of the list of servers in one datagram, about 120 bytes
+	// each. An instance that lacks more changes requests the list of servers.
 	UpdatesAtMost int
 	// FirstStart is set when all instances start for the first time, so that no caller waits for
 	// them yet and none has any data. Instances that are not meant to read the store then wait at
@@ -172,22 +174,22 @@
 	RetrySlack  float64
 	RetryWindow time.Duration
 
-	// AllotmentSlack is how many units a team may use beyond its limits before the users count it
-	// as a violation.
+	// AllotmentSlack is how many units a team may use beyond its limits before the service
+	// requirements count it as a violation.
 	AllotmentSlack float64
 	// ColdOverage and ColdSlack bound the requests in any second, from all instances, to a server
 	// that has just started: ColdOverage times its rate plus ColdSlack.
 	ColdOverage float64
 	ColdSlack   float64
-	// AllotmentMaxAge is the greatest age of a hub's report of the teams' balances that an instance
-	// relies on. It covers four digests, or two where they are less frequent. If it is too long,
-	// the members of a lost hub all spend the same balance. If it is too short, each lost datagram
-	// makes an instance refuse requests without need.
+	// AllotmentMaxAge is the greatest age of a hub's report of the teams' balances that an
+	// instance relies on. It covers four hub digests, or two where they are less frequent. If it
+	// is too long, the members of a lost hub all spend the same balance. If it is too short, each
+	// lost datagram makes an instance refuse requests without need.
 	AllotmentMaxAge time.Duration
-	// TeamsAtOnce bounds the teams in one digest, some 17 bytes each.
+	// TeamsAtOnce bounds the teams in one hub digest, some 17 bytes each.
 	TeamsAtOnce int
 
-	// Lease configures the lease on giving orders.
+	// Lease configures the lease that allows an instance to order role changes of engines.
 	Lease lease.Config
 	// PrefillShare is the share of a service's engines that prefill, which means to read prompts.
 	PrefillShare float64
@@ -258,12 +260,12 @@
 	}
 }
 
-// defaultPrefillShare suits the loads of the users' sheets. There, two of nine engines prefill as
-// much as the other seven can hold for decoding.
+// defaultPrefillShare suits the reference workload. There, two of nine engines prefill as much as
+// the other seven can hold for decoding.
 const defaultPrefillShare = 2.0 / 9
 
-// LeaseConfig returns the times of a lease that keeps orders of different holders at least the
-// given time apart.
+// LeaseConfig returns the times of a lease that keeps orders to change an engine's role from
+// different holders at least the given time apart.
 func LeaseConfig(apart time.Duration) lease.Config {
 	// A holder stops at TTL-Margin and a challenger begins at TTL+Margin, so the margin is half
 	// of the time that must lie between them.
@@ -272,7 +274,7 @@
 }
 
 const (
-	// orderWindow is how long a holder may give orders after a claim or renewal.
+	// orderWindow is how long a holder may give orders after it has claimed or renewed the lease.
 	orderWindow = 1500 * time.Millisecond
 	// leaseSlack covers an order that is under way when its holder stops.
 	leaseSlack = 400 * time.Millisecond
--- a/edge/deps.go
+++ b/edge/deps.go
@@ -11,8 +11,8 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// This file declares the interfaces to what an instance depends on: the users' platform, its
-// siblings and the engines.
+// This file declares the interfaces to what an instance depends on: the platform, its siblings
+// and the engines.
 
 // Revision is one version of the operators' table.
 type Revision struct {
@@ -45,8 +45,8 @@
 
 // ServerList is the source of the list of backend servers.
 type ServerList interface {
-	// Newest returns the full list. Where that takes more than one call, checkContinue is called
-	// after the first. If it returns an error, the read ends with that error.
+	// Newest returns the full list of servers. Where that takes more than one call, checkContinue
+	// is called after the first. If it returns an error, the read ends with that error.
 	Newest(ctx context.Context, checkContinue func(context.Context) error) (registry.Snapshot, error)
 	// Since returns the changes after a position. It waits for a change for at most wait.
 	Since(ctx context.Context, position oplog.Position, wait time.Duration) (changes []registry.Change, next oplog.Position, err error)
@@ -60,16 +60,17 @@
 	Addresses(ctx context.Context) (map[string]string, error)
 }
 
-// Claims stores the claims of the lease on orders.
+// Claims stores the claims of the leases that allow an instance to order engines to change their
+// roles.
 type Claims interface {
 	// Last returns the claim in effect and the condition for the next one.
 	Last(ctx context.Context, key string) (state lease.State, condition oplog.Position, err error)
-	// Claim makes a claim that takes effect only if no other was made in between. won is false
-	// if one was.
+	// Claim makes a claim that takes effect only if no other claim was made in between. won is
+	// false if there was one.
 	Claim(ctx context.Context, claim lease.Claim, condition oplog.Position) (state lease.State, won bool, err error)
 }
 
-// EngineStatus is a model engine's report on its orders.
+// EngineStatus is a model engine's report on the orders to change its role.
 type EngineStatus struct {
 	Role string
 	// Busy is set while the engine carries out an order.
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -1,7 +1,8 @@
 // Package edge runs one instance on a platform that stores the table and the list of backend
-// servers for it. It holds the loops that follow both, the messages that siblings exchange, and
-// the choice of the instance that gives engines their roles. Package forward handles requests.
-// This package provides the state by which it decides them.
+// servers for it. It holds the loops that follow the table and the list, the messages that
+// siblings (the other instances) exchange, and the choice of the instance that gives engines
+// their roles. Package forward handles requests. This package provides the state by which it
+// decides them.
 package edge
 
 import (
@@ -46,7 +47,7 @@
 	tablePosition atomic.Uint64
 	// uses is the subset of the servers that this instance uses. It is nil if it uses all.
 	uses atomic.Pointer[subset.Subset]
-	// listCensus is the latest census of the list.
+	// listCensus is the latest count of the servers on the list by service and zone.
 	listCensus atomic.Pointer[countedList]
 	// outgrown names the hub that reported that this instance's subset of the servers no longer
 	// suits. It is nil otherwise.
--- a/edge/entry.go
+++ b/edge/entry.go
@@ -11,7 +11,7 @@
 
 // Entry returns the addresses that callers of a region and zone should use: those of this
 // instance and of the live siblings, limited to that region if any of them are there. If one
-// answer does not hold them all, those of the caller's zone come first.
+// answer can't hold all addresses, those of the caller's zone come first.
 func (in *Instance) Entry(region, zone string) []string {
 	var all, near []member.Info
 	add := func(info member.Info) {
@@ -95,8 +95,8 @@
 	return err == nil
 }
 
-// readRoster adds the addresses on the list to the known peers, and returns the number of
-// failures in a row.
+// readRoster adds the addresses on the list of instances to the known peers, and returns the
+// number of failures in a row.
 func (in *Instance) readRoster(ctx context.Context, failures int) int {
 	addresses, err := in.deps.Roster.Addresses(ctx)
 	if err != nil {
--- a/edge/era.go
+++ b/edge/era.go
@@ -9,8 +9,8 @@
 	"github.com/mastwheel/mastwheel/oplog"
 )
 
-// era returns the latest era of the store that this instance knows from its own polls or from
-// its siblings.
+// era returns the latest era of the store (it increases by one each time the store is restored
+// from an older copy) that this instance knows from its own polls or from its siblings.
 func (in *Instance) era() uint64 {
 	return max(in.registry.View().Position.Era(), oplog.Position(in.tablePosition.Load()).Era())
 }
@@ -25,7 +25,7 @@
 		if era <= known {
 			continue
 		}
-		klog.InfoS("Store is in a later era; announcing this instance again", "era", era, "before", known,
+		klog.InfoS("Store era increased; adding this instance to the list of instances again", "era", era, "before", known,
 			"revision", in.Revision(), "position", in.registry.View().Position)
 		began := clock.Now()
 		in.pause(ctx, in.config.AnnounceWithin/2)
@@ -34,7 +34,7 @@
 			failures++
 		}
 		klog.InfoS("This instance was added to the list of instances again", "era", era, "tookMillis", clock.Since(began).Milliseconds(), "failures", failures)
-		// Before the first answer the era is not known.
+		// Before the first answer the store era is not known.
 		known = era
 	}
 }
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -223,7 +223,8 @@
 }
 
 // pollSlack is how much later than other instances' polls a poll may return updates. A slow store
-// takes about 240 ms, which is 60 times its usual 4 ms, according to the users' list of faults.
+// takes about 240 ms, which is 60 times its usual 4 ms, in a fault that the service requirements
+// list.
 const pollSlack = 300 * time.Millisecond
 
 // review gives up a poll that should have returned updates known from other sources. It also
@@ -262,9 +263,9 @@
 		return
 	}
 	f.outdated = old
-	line := "Data is known to be current again"
+	line := "Table or list of servers is known to be current again"
 	if old {
-		line = "Data is no longer known to be current"
+		line = "Table or list of servers is no longer known to be current"
 	}
 	fields := []any{"belief", f.name, "progress", f.progress(), "ageMillis", now.Sub(confirmed).Milliseconds(), "failures", f.failures}
 	if f.poll != nil {
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -107,8 +107,8 @@
 	return min(stretched, in.config.ReadAtMost)
 }
 
-// readServers applies the changes of the list after the known position, or the full list if known
-// is false.
+// readServers applies the changes of the list of servers after the known position, or the full
+// list if known is false.
 func (in *Instance) readServers(ctx context.Context, known bool, wait time.Duration) (time.Time, error) {
 	sentAt := clock.Now()
 	if !known {
--- a/edge/hubbeat.go
+++ b/edge/hubbeat.go
@@ -17,7 +17,7 @@
 // others.
 func (in *Instance) usesHubs() bool { return in.Instances() > in.config.MeshAtMost }
 
-// hubBeat sends this instance's state to its hubs if that is due. As a hub, it also sends
+// hubBeat sends this instance's state to its hubs if that is due. As a hub, it also sends hub
 // digests to its subscribers.
 func (in *Instance) hubBeat(now time.Time, loads []heartbeat.Load, changed, urgent bool) {
 	in.members.SetSuspectAfter(in.config.DirectSilence)
@@ -166,7 +166,8 @@
 	}
 }
 
-// serveSubscribers sends a digest to each subscriber and returns the total number of bytes sent.
+// serveSubscribers sends a hub digest to each subscriber and returns the total number of bytes
+// sent.
 func (in *Instance) serveSubscribers(now time.Time, view *member.View, settled, urgent bool, loads []heartbeat.Load) (bytes int) {
 	subscribers := in.hubs.toServe(now, in.config.KeepAliveEvery, urgent)
 	if len(subscribers) == 0 {
@@ -179,7 +180,7 @@
 	addLoads(total, zone)
 	sums, err := in.dueSums(zone, total)
 	if err != nil {
-		klog.ErrorS(err, "Failed to send digests")
+		klog.ErrorS(err, "Failed to encode hub digests for subscribers")
 		return 0
 	}
 	message := in.message(now)
@@ -195,7 +196,7 @@
 		digest.Observations, digest.To = in.hubs.missingChanges(to.seen, view, repeat.keep(digest.Zone), now)
 		some := false
 		if digest.Loads, some, err = sums.of(to.subscriber, digest.Zone); err != nil {
-			klog.ErrorS(err, "Failed to send digest", "sibling", to.name)
+			klog.ErrorS(err, "Failed to encode hub digest for subscriber", "sibling", to.name)
 			continue
 		}
 		if to.part && !to.due && !news && !some && len(digest.Observations) == 0 {
--- a/edge/hubs.go
+++ b/edge/hubs.go
@@ -11,14 +11,15 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// Up to some tens of instances each send their state to all others. With more, the instances of
-// a zone send their state to two hubs, which are the strongest instances of the zone. One of the
-// hubs sends each instance the sums of all commitments and the states of all siblings. Hubs of
-// different zones exchange the sums of their zones. An idle instance then sends about 24
-// datagrams and 2.2 KB a second, with 58 instances as well as with 295
-// (TestManyInstancesSendLittle). Sending to 36 others at each beat took 240 datagrams a second.
-// The loads of the others are at most two beats old. Without hubs they were 24 beats old with
-// 295 instances.
+// Up to some tens of instances each send their state to all others. With more, the instances of a
+// zone send their state to two hubs, which are the strongest instances of the zone. One of the
+// hubs sends each instance the sums of all commitments (the requests and memory that instances
+// have assigned to servers) and the states of all siblings. These messages are called hub
+// digests. Hubs of different zones exchange the sums of their zones. An idle instance then sends
+// about 24 datagrams and 2.2 KB a second, with 58 instances as well as with 295
+// (TestManyInstancesSendLittle). Sending to 36 other instances at each beat took 240 datagrams a
+// second. The known loads of the other instances are at most two beats old. Without hubs they
+// were 24 beats old with 295 instances.
 //
 // No instance appoints hubs. Each instance subscribes to the two best hubs among the siblings
 // that it knows to be alive, and an instance that receives a subscription serves it. Differing
@@ -71,7 +72,7 @@
 	lastNotify, lastDiscovery, lastServe time.Time
 }
 
-// source is a hub from which this instance requests digests.
+// source is a hub from which this instance requests hub digests.
 type source struct {
 	run operation.Incarnation
 	// lastContact is when the hub last answered, or when this instance first sent it a request.
@@ -267,7 +268,8 @@
 }
 
 // updateLog brings the change log of siblings' states up to date. A hub that has not settled
-// reports only live siblings, since the others may not have learned of it yet.
+// reports only live siblings, since the other siblings may not have learned yet that this
+// instance is a hub.
 func (h *hubs) updateLog(siblings []*member.Sibling, settled bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/edge/ledger.go
+++ b/edge/ledger.go
@@ -19,7 +19,7 @@
 	changes []stateChange
 }
 
-// siblingState is what digests report of a sibling.
+// siblingState is what hub digests report of a sibling.
 type siblingState struct {
 	incarnation operation.Incarnation
 	peer        string
@@ -119,7 +119,7 @@
 	return states
 }
 
-// observationOf returns the observation of a sibling for a digest.
+// observationOf returns the observation of a sibling for a hub digest.
 func observationOf(info member.Info, sibling member.Sibling, now time.Time) heartbeat.Observation {
 	return heartbeat.Observation{Info: info, State: sibling.State, Age: max(now.Sub(sibling.Observed), 0)}
 }
--- a/edge/listupdates.go
+++ b/edge/listupdates.go
@@ -11,10 +11,10 @@
 )
 
 // Instances that read changes of the list of backend servers from the store send them to all
-// others.
+// other instances.
 
-// sendUpdates forwards changes of the list. Where there are hubs, it sends them to the hubs of
-// the own zone, and a hub sends them to its subscribers. Otherwise it sends them to all
+// sendUpdates forwards changes of the list of servers. Where there are hubs, it sends them to the
+// hubs of the own zone, and a hub sends them to its subscribers. Otherwise it sends them to all
 // siblings. The sibling from which the changes came does not receive them again. before is the
 // list before the changes.
 func (in *Instance) sendUpdates(updates heartbeat.Updates, before *registry.View, from string) {
@@ -96,8 +96,8 @@
 
 // split cuts the selected changes into pieces that each fit into a datagram. Applied in order,
 // the pieces lead to the position of all updates. Splitting needs one change for each position.
-// Without that there is a single piece, or none if it would be too large. An instance that
-// misses those changes then requests the list.
+// Without that there is a single piece, or none if it would be too large. An instance that misses
+// those changes then requests the list of servers.
 func split(updates heartbeat.Updates, indexes []int, atMost int) []heartbeat.Updates {
 	dense := oplog.Position(len(updates.Changes)) == updates.To-updates.From
 	if len(indexes) > atMost && !dense {
@@ -121,8 +121,8 @@
 	}
 }
 
-// applyUpdates applies changes of the list that a sibling forwards, if no change is missing
-// before or among them. It then forwards them in turn.
+// applyUpdates applies changes of the list of servers that a sibling forwards, if no change is
+// missing before or among them. It then forwards them in turn.
 func (in *Instance) applyUpdates(message heartbeat.Message, now time.Time) {
 	updates := message.Updates
 	if updates == nil || updates.Age < 0 {
@@ -137,7 +137,8 @@
 		return
 	}
 	at := now.Add(-updates.Age)
-	// An outage of the store must be known before a removal is judged.
+	// The registry must know that the store was unavailable before it judges the removal of a
+	// server.
 	in.list.noteAnswer(at, false)
 	in.registry.Apply(updates.Changes, updates.To, now)
 	in.rebuild()
--- a/edge/mesh.go
+++ b/edge/mesh.go
@@ -22,8 +22,8 @@
 }
 
 // readsInMesh reports whether this instance is one of the few that keep long polls open at the
-// store. The others receive the results from these. All instances that know the same siblings
-// choose the same readers, and an instance that knows no siblings reads itself.
+// store. The other instances receive the updates from these readers. All instances that know the
+// same siblings choose the same readers, and an instance that knows no siblings reads itself.
 func (in *Instance) readsInMesh() bool {
 	self, better := in.info(), 0
 	for _, sibling := range in.members.View().Siblings {
--- a/edge/orders.go
+++ b/edge/orders.go
@@ -18,8 +18,8 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// orders assigns roles to model engines. Only the instance that holds the service's lease gives
-// orders. The others only watch.
+// orders assigns roles to model engines. Only the instance that holds a service's lease orders
+// engines of that service to change their roles. The other instances only watch.
 type orders struct {
 	*Instance
 	leases map[string]*lease.Candidate // by service
@@ -59,7 +59,7 @@
 
 const (
 	// orderGrace is added to the time that a role change takes before an engine counts as not
-	// having carried it out, since its entry in the list lags behind.
+	// having carried it out, since its entry in the list of servers lags behind.
 	orderGrace = 3 * time.Second
 	// settleTime is how long the number of engines must stay the same before roles change, since
 	// engines register one after another at the start.
@@ -104,12 +104,12 @@
 		return
 	}
 	if err := o.sendOrder(ctx, name, change); err != nil {
-		klog.InfoS("Role order failed", "service", name, "server", change.Engine, "role", change.Role, "err", err.Error())
+		klog.InfoS("Failed to order an engine to change its role", "service", name, "server", change.Engine, "role", change.Role, "err", err.Error())
 	}
 }
 
-// rank returns the number of live siblings that know the full list and whose names sort before
-// this instance's.
+// rank returns the number of live siblings that know the full list of servers and whose names
+// sort before this instance's.
 func (o *orders) rank() int {
 	before := 0
 	for _, sibling := range o.members.View().Siblings {
@@ -215,7 +215,7 @@
 		}
 		return err
 	}
-	klog.InfoS("Role order sent", "service", service, "server", change.Engine, "role", change.Role, "token", order.Token,
+	klog.InfoS("Order to change an engine's role sent", "service", service, "server", change.Engine, "role", change.Role, "token", order.Token,
 		"after", order.After, "prefill", change.Prefill, "decode", change.Decode, "wantPrefill", change.WantPrefill, "accepted", err == nil)
 	if errors.Is(err, engine.ErrStale) {
 		delete(o.leases, service)
--- a/edge/poison.go
+++ b/edge/poison.go
@@ -14,7 +14,7 @@
 // these crashed. Callers may send a request that crashes servers to any instance.
 
 // mergePoison merges what a sibling reports of crashed servers. With hubs, the report is
-// forwarded to the hubs and by them to all others. Without hubs all instances receive it
+// forwarded to the hubs and by them to all other instances. Without hubs all instances receive it
 // directly.
 func (in *Instance) mergePoison(message heartbeat.Message, now time.Time) {
 	in.Poison.Merge(message.Poison, in.usesHubs(), now)
--- a/edge/servers.go
+++ b/edge/servers.go
@@ -13,8 +13,8 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// rebuild rebuilds the view of the servers from the list, the table and the evacuated zones, if
-// any of them has changed.
+// rebuild rebuilds the view of the servers from the list of servers, the table and the evacuated
+// zones, if any of them has changed.
 func (in *Instance) rebuild() {
 	in.orders.mu.Lock()
 	defer in.orders.mu.Unlock()
@@ -49,7 +49,7 @@
 	list    *registry.View
 }
 
-// usedServers returns the part of a list that an instance uses.
+// usedServers returns the part of a list of servers that an instance uses.
 func usedServers(list *registry.View, uses *subset.Subset) *registry.View {
 	if uses == nil || list.IsSubset {
 		return list
--- a/edge/siblings.go
+++ b/edge/siblings.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// sumLoads sets the commitments of the siblings in each server's state.
+// sumLoads sets the commitments (the requests and memory that an instance has assigned to
+// servers) of the siblings in each server's state.
 func (in *Instance) sumLoads() {
 	total := in.siblingCommitments(clock.Now())
 	for id := range in.servers.Load().ByRun {
@@ -108,7 +109,7 @@
 func (in *Instance) handleMessage(message heartbeat.Message) {
 	if message.Known > operation.Incarnation(in.incarnation.Load()) {
 		in.incarnation.Store(uint64(message.Known) + 1)
-		klog.InfoS("Incarnation raised above a later one that a sibling knows", "incarnation", in.incarnation.Load(), "sibling", message.From.Name)
+		klog.InfoS("Incarnation of this instance raised above the later one that a sibling knows", "incarnation", in.incarnation.Load(), "sibling", message.From.Name)
 	}
 	now := clock.Now()
 	for _, peer := range message.Peers {
@@ -162,7 +163,7 @@
 }
 
 // longestChange bounds the duration of a role change that a sibling reports. A role change takes
-// 6 s (source: the users' sheets).
+// 6 s in the reference workload.
 const longestChange = 30 * time.Second
 
 // hurryHub makes a hub send digests to its subscribers at once.
@@ -172,9 +173,10 @@
 	}
 }
 
-// applyStoreAge applies how long ago the store answered a sibling, directly or through others,
-// and up to which position of the log. It returns whether that is an update that others wait
-// for. An age in the future would keep all instances from polling until then, so it is ignored.
+// applyStoreAge applies how long ago the store answered a sibling, directly or through other
+// instances, and up to which position of the log. It returns whether that is an update that other
+// instances wait for. An age in the future would keep all instances from polling until then, so
+// it is ignored.
 func applyStoreAge(f *feed, age *time.Duration, progress uint64, now time.Time) bool {
 	if age == nil || *age < 0 {
 		return false
@@ -206,5 +208,5 @@
 }
 
 func (in *Instance) logDropped(err error) {
-	klog.V(1).InfoS("Datagram dropped", "err", err.Error())
+	klog.V(1).InfoS("Dropped a heartbeat datagram that could not be decoded", "err", err.Error())
 }
--- a/edge/subscribers.go
+++ b/edge/subscribers.go
@@ -11,7 +11,7 @@
 
 // This file holds the state that a hub keeps of the instances that it serves.
 
-// subscriber is an instance that requests digests from this one.
+// subscriber is an instance that requests hub digests from this one.
 type subscriber struct {
 	peer        string
 	zone        string
--- a/edge/sums.go
+++ b/edge/sums.go
@@ -12,7 +12,8 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// This file sums the commitments of all instances, as hubs and members know them.
+// This file sums the commitments (the requests and memory that instances have assigned to
+// servers) of all instances, as hubs and members know them.
 
 // sentLoads holds the loads that an instance sent at the given uptime.
 type sentLoads struct {
@@ -23,7 +24,7 @@
 // maxSentLoads bounds the sent loads that are kept. A hub answers within two beats.
 const maxSentLoads = 32
 
-// sum applies the loads of a digest. The caller holds the lock.
+// sum applies the loads of a hub digest. The caller holds the lock.
 func (h *hubs) sum(digest *heartbeat.Digest, zone string, now time.Time) {
 	encoded, err := heartbeat.DecodeLoads(digest.Loads)
 	if err != nil {
@@ -63,7 +64,7 @@
 }
 
 // pick returns the loads of a sum that are due. First come changed servers up to a limit, then
-// some servers in turn. Servers that are not on the list are left out.
+// some servers in turn. Servers that are not on the list of servers are left out.
 func (p *sumDelta) pick(sum map[uint32]route.Commitment, servers *serverIndex, changedAtMost, inTurn int) (due []heartbeat.Load, changed int) {
 	if p.sent == nil {
 		p.sent = make(map[uint32]route.Commitment)
@@ -167,7 +168,7 @@
 	return h.sums
 }
 
-// serverIndex finds the servers of a list by route.ServerID.
+// serverIndex finds the servers on the list of backend servers by route.ServerID.
 type serverIndex struct {
 	of   *registry.View
 	ids  []uint32
--- a/edge/teams.go
+++ b/edge/teams.go
@@ -70,7 +70,7 @@
 }
 
 const (
-	// adoptionMemory is over about how many digests the longest interval is remembered, since
+	// adoptionMemory is over about how many hub digests the longest interval is remembered, since
 	// urgent digests come between the others. By the mean interval the next update would seem
 	// late although it is not. A team that requests 0.8 of its rate would then be served 0.94 of
 	// that, and with the longest interval it is served all of it
--- a/edge/uses.go
+++ b/edge/uses.go
@@ -12,16 +12,16 @@
 )
 
 // Where there are many servers, an instance uses a subset of them (package subset) and knows no
-// others, since each server costs memory and a check at each decision. Hubs know the full list.
-// They send the others their subsets and the changes of these.
+// other servers, since each server costs memory and a check at each decision. Hubs know the full
+// list of servers. They send the other instances their subsets and the changes of these.
 
-// countedList is a list with the census of its servers.
+// countedList is a list of servers with the number of its servers by service and zone.
 type countedList struct {
 	of     *registry.View
 	census *subset.Census
 }
 
-// census counts the servers of a list.
+// census counts the servers of a list by service and zone.
 func (in *Instance) census(list *registry.View) *subset.Census {
 	if counted := in.listCensus.Load(); counted != nil && counted.of == list {
 		return counted.census
@@ -48,8 +48,8 @@
 	return counts
 }
 
-// subsetFor returns the subset of a full list that an instance should use, given the number of
-// instances in its zone. It returns nil for all servers.
+// subsetFor returns the subset of a full list of servers that an instance should use, given the
+// number of instances in its zone. It returns nil for all servers.
 func (in *Instance) subsetFor(name, zone string, list *registry.View, near int) *subset.Subset {
 	if !in.usesHubs() {
 		return nil
@@ -70,7 +70,7 @@
 	return func(entry *registry.Entry) bool { return holdsEntry(uses, entry) }
 }
 
-// needsFullList reports whether this instance needs the full list.
+// needsFullList reports whether this instance needs the full list of servers.
 func (in *Instance) needsFullList() bool { return !in.usesHubs() || in.hubs.isHub() }
 
 // reviewSubset decides which servers this instance uses while it knows all of them. It drops the
@@ -96,12 +96,12 @@
 func (in *Instance) setSubset(uses *subset.Subset, by string) {
 	in.uses.Store(uses)
 	in.rebuild()
-	klog.InfoS("Subset of servers changed", "all", uses == nil, "shares", uses.Shares(), "by", by,
+	klog.InfoS("Subset of servers that this instance uses changed", "all", uses == nil, "shares", uses.Shares(), "by", by,
 		"servers", len(in.servers.Load().ByRun), "known", len(in.registry.View().Servers), "position", in.registry.View().Position)
 }
 
-// applyList applies a list that a sibling has sent. It holds all servers, or the subset that
-// this instance is to use.
+// applyList applies a list of servers that a sibling has sent. It holds all servers, or the
+// subset that this instance is to use.
 func (in *Instance) applyList(snapshot *Snapshot, from string) {
 	var uses *subset.Subset
 	if snapshot.IsSubset {
@@ -121,8 +121,8 @@
 		"servers", len(snapshot.Servers.Entries))
 }
 
-// subsetSnapshot returns the subset of the full list that an instance uses, with the shares that
-// form it.
+// subsetSnapshot returns the subset of the full list of servers that an instance uses, with the
+// shares that form it.
 func (in *Instance) subsetSnapshot(have Have, list *registry.View) Snapshot {
 	servers := list.Snapshot()
 	snapshot := Snapshot{Servers: &servers}
