--- a/edge/backpressure_test.go
+++ b/edge/backpressure_test.go
@@ -114,8 +114,8 @@
 	known.Observe(report, now, now)
 }
 
-// The users' protocol bounds the requests that a limited server receives within limitWindow, from
-// limitSettles after the limit changed.
+// The platform's protocol bounds the requests that a limited server receives within limitWindow,
+// from limitSettles after the limit changed.
 const (
 	limitWindow  = 4 * time.Second
 	limitSettles = 3 * time.Second
@@ -207,8 +207,8 @@
 	f.running.Wait()
 }
 
-// controlBytesPerSecond bounds the control traffic of one instance, in bytes per second (source: the
-// size to design for).
+// controlBytesPerSecond bounds the control traffic of one instance, in bytes per second (source:
+// the reference workload).
 const controlBytesPerSecond = 20_000.0
 
 // Reports of limited servers cause no traffic while no server is limited, and little otherwise.
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -17,7 +17,7 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// claims is an in-memory store for the lease on role orders.
+// claims is an in-memory store for the lease on orders to change an engine's role.
 type claims struct {
 	mu    sync.Mutex
 	state lease.State
@@ -45,13 +45,14 @@
 	return c.state, true, nil
 }
 
-// receivedOrder is a role order with the time at which an engine received it.
+// receivedOrder is an order to change an engine's role with the time at which an engine received
+// it.
 type receivedOrder struct {
 	at    time.Time
 	order RoleOrder
 }
 
-// fakeEngines is a set of engines in memory that receive role orders.
+// fakeEngines is a set of engines in memory that receive orders to change their roles.
 type fakeEngines struct {
 	mu     sync.Mutex
 	roles  map[string]string
@@ -101,7 +102,7 @@
 // holderPause is the minimum time between the orders of two lease holders.
 const holderPause = 3 * time.Second
 
-// bareInstance returns an instance with only the parts that role orders need.
+// bareInstance returns an instance with only the parts that orders to change engines' roles need.
 func bareInstance(name string, shared *claims, engines *fakeEngines) *Instance {
 	config := DefaultConfig()
 	config.Name = name
@@ -199,7 +200,8 @@
 	return false
 }
 
-// checkHolders checks the orders of all engines together, which is stricter than the users require.
+// checkHolders checks the orders of all engines together, which is stricter than the service
+// requirements.
 func checkHolders(t *testing.T, all []receivedOrder) {
 	t.Helper()
 	holders := make(map[uint64]string)
@@ -290,7 +292,7 @@
 	})
 }
 
-// An engine that does not report its status does not block the orders to others.
+// An engine that does not report its status does not block the orders to other engines.
 func TestAnEngineThatDoesNotReportIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engines := enginesOf(5, 5)
@@ -370,8 +372,9 @@
 	return s.snapshot, nil
 }
 
-// TestASiblingThatIsAheadIsQueried checks that an instance whose store does not answer reads the list
-// and the table from a sibling, and queries no sibling that knows no more than itself.
+// TestASiblingThatIsAheadIsQueried checks that an instance whose store does not answer reads the
+// list of servers and the table from a sibling, and queries no sibling that knows no more than
+// itself.
 func TestASiblingThatIsAheadIsQueried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := bareInstance("a", new(claims), enginesOf(0, 0))
--- a/edge/evacuation_test.go
+++ b/edge/evacuation_test.go
@@ -25,8 +25,8 @@
 	return entry != nil && entry.Draining
 }
 
-// evacuatedWithin is the time within which all instances must follow an evacuation. The users allow
-// 3 s and more.
+// evacuatedWithin is the time within which all instances must follow an evacuation. The service
+// requirements allow 3 s and more.
 const evacuatedWithin = 2 * time.Second
 
 func TestAllInstancesFollowAnEvacuation(t *testing.T) {
--- a/edge/fleet_test.go
+++ b/edge/fleet_test.go
@@ -41,7 +41,7 @@
 	bytes int
 }
 
-// Times of the store and the network in memory. They are close to those of the users.
+// Times of the store and the network in memory. They are close to those of the platform.
 const (
 	storeLatency   = 4 * time.Millisecond
 	networkLatency = time.Millisecond
@@ -457,8 +457,9 @@
 // newInstanceKnowsWithin is the time within which a new instance must know what the others know.
 const newInstanceKnowsWithin = 2 * time.Second
 
-// newInstanceKnows starts the last instance long after the others have learnt something, and returns
-// how long it takes to know that as well. It gives up after ten seconds.
+// newInstanceKnows starts the last instance long after the other instances have learned a change,
+// and returns how long the new instance takes to know the change too. It gives up after ten
+// seconds.
 func (f *fleet) newInstanceKnows(learn func(others []*Instance), knows func(in *Instance) bool) time.Duration {
 	last := len(f.instances) - 1
 	others := f.instances[:last]
--- a/edge/hubs_test.go
+++ b/edge/hubs_test.go
@@ -13,7 +13,7 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// manyInstanceSizes are the sizes of the users' deployments with many instances.
+// manyInstanceSizes are the sizes of the reference deployments with many instances.
 var manyInstanceSizes = []int{58, 120}
 
 // manyInstances runs a test on each of the manyInstanceSizes.
--- a/edge/poison_test.go
+++ b/edge/poison_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// knownWithin is the time within which all instances must know what one has observed. It is well
-// within the users' three seconds.
+// knownWithin is the time within which all instances must know what one instance has observed. It
+// is well within the three seconds that the service requirements allow.
 const knownWithin = 700 * time.Millisecond
 
 func TestCrashesUnderARequestAreKnownToAll(t *testing.T) {
--- a/edge/silence_test.go
+++ b/edge/silence_test.go
@@ -18,12 +18,13 @@
 // The logs showed `Dependency lost` with askedMillisAgo 26,500 at each of 62 instances, no line about
 // the list in the 26 s before it, and the updates with the next poll, 0.3 s later.
 
-// mustKnow is the time within which all instances must have updates that the store acknowledged while
-// it worked. The users allow 2 s until the last request reaches a draining server, and a request may
-// be under way for a moment.
+// mustKnow is the time within which all instances must have updates that the store acknowledged
+// while it worked. The service requirements allow 2 s until the last request reaches a draining
+// server, and a request may be under way for a moment.
 const mustKnow = 1700 * time.Millisecond
 
-// reliableAfter is how long after a silence the users rely on the store again.
+// reliableAfter is how long after a silence the service requirements count the store as reliable
+// again.
 const reliableAfter = 3 * time.Second
 
 // forEachSize runs a test on fleets of the usual sizes.
@@ -61,8 +62,9 @@
 	return func(in *Instance) bool { return in.Servers().ByRun[id] == nil }
 }
 
-// updatesAfterSilence returns a test that all instances know a change in time. The change is made when
-// the users rely on the store again after it was silent about a topic.
+// updatesAfterSilence returns a test that all instances know a change in time. The change is made
+// when the service requirements count the store as reliable again after it was silent about a
+// topic.
 func updatesAfterSilence(topic string, lasts time.Duration, change func(f *fleet), known func(in *Instance) bool) func(*testing.T, *fleet) {
 	return func(t *testing.T, f *fleet) {
 		f.store.silence(topic, lasts)
@@ -81,10 +83,10 @@
 	shortSilence = 10 * time.Millisecond
 )
 
-// drainServer has a server of the list drain.
+// drainServer has a server on the list of servers drain.
 func drainServer(f *fleet) { f.store.register("s3", true) }
 
-// 62 instances are the size of the users' deployment with the failure.
+// 62 instances are the size of the reference deployment in which the failure occurred.
 func TestADrainingServerIsKnownAfterAPartialStoreOutage(t *testing.T) {
 	forSizes(t, []int{1, 8, 16, 62}, updatesAfterSilence(topicServers, longSilence, drainServer, knowsDraining("s3")))
 }
--- a/edge/suspended_test.go
+++ b/edge/suspended_test.go
@@ -78,7 +78,7 @@
 	})
 }
 
-// What this instance learnt before a suspension is reported to others with its true age.
+// What this instance learnt before a suspension is reported to other instances with its true age.
 func TestReportedAgesIncludeASuspension(t *testing.T) {
 	runFleet(t, 3, func(f *fleet) {
 		in := f.instances[0]
--- a/edge/teams_test.go
+++ b/edge/teams_test.go
@@ -11,7 +11,8 @@
 	"github.com/mastwheel/mastwheel/racedetector"
 )
 
-// Figures of the users' largest team, and the excess that they tolerate.
+// Figures of the largest team in the reference workload, and the excess that the service
+// requirements tolerate.
 const (
 	teamRate      = 213_644 // tokens a second
 	teamCost      = 7_700   // mean tokens of a stream
--- a/edge/updates_test.go
+++ b/edge/updates_test.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// failingLists answers polls for changes of the list. The first polls fail.
+// failingLists answers polls for changes of the list of servers. The first polls fail.
 type failingLists struct {
 	fail  int
 	waits []time.Duration
--- a/edge/uses_test.go
+++ b/edge/uses_test.go
@@ -64,7 +64,7 @@
 	return users
 }
 
-// fullLists returns the number of instances that know the full list.
+// fullLists returns the number of instances that know the full list of servers.
 func (f *fleet) fullLists() (count int) {
 	for _, in := range f.all() {
 		if !in.registry.View().IsSubset {
@@ -135,7 +135,7 @@
 	})
 }
 
-// end returns the position after the last change of the list.
+// end returns the position after the last change of the list of servers.
 func (s *memoryStore) end() oplog.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,8 +153,8 @@
 	}
 }
 
-// After all hubs were lost at once, others become hubs and need the full list. Few of them read it,
-// from each other or from the store.
+// After all hubs were lost at once, other instances become hubs and need the full list of
+// servers. Few of these hubs read it, from each other or from the store.
 func TestNewHubsKnowTheFullList(t *testing.T) {
 	withManyServers(t, func(f *fleet) {
 		var remaining []*Instance
@@ -199,7 +199,7 @@
 	})
 }
 
-// The instances that use a server know what others have committed there.
+// The instances that use a server know what the other instances have committed there.
 func TestLoadsReachTheInstancesThatUseTheServer(t *testing.T) {
 	withManyServers(t, func(f *fleet) {
 		id := manyID(10)
@@ -223,7 +223,7 @@
 	})
 }
 
-// A new instance reads its subset, not the full list.
+// A new instance reads its subset, not the full list of servers.
 func TestANewInstanceReadsItsSubset(t *testing.T) {
 	withManyServers(t, func(f *fleet) {
 		f.add(someInstances)
@@ -294,8 +294,8 @@
 	}
 }
 
-// Of instances that start together, for the first time or after all were lost, only few read the full
-// list.
+// Of instances that start together, for the first time or after all were lost, only few read the
+// full list of servers.
 func TestFewInstancesReadTheFullListAtTheStart(t *testing.T) {
 	if racedetector.Enabled {
 		t.Skip("too many goroutines for the race detector")
