--- a/edge/deps.go
+++ b/edge/deps.go
@@ -108,7 +108,7 @@
 type Socket interface {
 	Send(address string, datagram []byte) error
 	// Receive passes each message to handle until ctx ends, and calls bad with the error for each
-	// datagram that cannot be decoded.
+	// datagram that cannot be read or decoded.
 	Receive(ctx context.Context, handle func(heartbeat.Message), bad func(error)) error
 }
 
--- a/edge/era.go
+++ b/edge/era.go
@@ -9,8 +9,8 @@
 	"github.com/mastwheel/mastwheel/oplog"
 )
 
-// era returns the latest era of the store (it increases by one each time the store is restored
-// from an older copy) that this instance knows from its own polls or from its siblings.
+// era returns the latest era of the store (it increases each time the store is restored from an
+// older copy) that this instance knows from its own polls or from its siblings.
 func (in *Instance) era() uint64 {
 	return max(in.registry.View().Position.Era(), oplog.Position(in.tablePosition.Load()).Era())
 }
--- a/edge/siblings.go
+++ b/edge/siblings.go
@@ -208,5 +208,5 @@
 }
 
 func (in *Instance) logDropped(err error) {
-	klog.V(1).InfoS("Dropped a heartbeat datagram that could not be decoded", "err", err.Error())
+	klog.V(1).InfoS("Failed to read or decode a heartbeat datagram", "err", err.Error())
 }
