--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// BenchmarkOwner measures the search for a worker's steward by the number of
-// instances in the cell.
+// BenchmarkOwner measures the search for a worker's steward (the instance that grants
+// reservations there) by the number of instances in the cell.
 func BenchmarkOwner(b *testing.B) {
 	for _, instances := range []int{8, 32, 128} {
 		b.Run(fmt.Sprintf("instances=%d", instances), func(b *testing.B) {
--- a/route/budget.go
+++ b/route/budget.go
@@ -12,9 +12,9 @@
 	budgetCap = 100 * budgetUnit
 )
 
-// Budget limits the retries of one service to a percentage of its first attempts,
-// plus a small reserve, so that retries do not multiply an outage. Use NewBudget to
-// create one.
+// Budget limits the retries of one service to a percentage of its first attempts (the
+// first try of each request), plus a small reserve, so that retries do not multiply an
+// outage. Use NewBudget to create one.
 type Budget struct{ credit atomic.Int64 }
 
 // NewBudget returns a budget that holds only the reserve.
--- a/route/decide.go
+++ b/route/decide.go
@@ -13,14 +13,17 @@
 	RequestID    string
 	Zone         string
 	PromptTokens int
-	Pieces       int
+	// Pieces is the request's memory at a decode engine, in memory pieces (the unit of
+	// KV cache memory, 2,000 tokens).
+	Pieces int
 	// MemoryTokens is the KV memory that the request needs at a decode engine. Spare
 	// is the fraction of the engine's memory that must stay free beside it.
 	MemoryTokens int
 	Spare        float64
 	// Prefixes are hashes of the prompt's prefixes, the longest last.
 	Prefixes []uint64
-	// Exclude names servers on which earlier attempts of this request failed.
+	// Exclude names servers on which earlier attempts (an attempt is one try of a
+	// request) failed.
 	Exclude []string
 	// Partner is the other server of the prefill and decode pair; nil until it is
 	// selected.
@@ -77,7 +80,8 @@
 	Total     float64       `json:"total"`
 }
 
-// Decision is the result of a selection with everything that led to it.
+// Decision is the result of a selection with the filter results and scores that led to
+// it.
 type Decision struct {
 	// Selected is the selected candidate; nil if all candidates were dropped.
 	Selected *ScoredCandidate `json:"-"`
@@ -87,7 +91,8 @@
 	Rated  []ScoredCandidate `json:"rated"`
 }
 
-// Profile defines how a server is selected: filters, then scorers, then a picker.
+// Profile is a scheduling profile: the filters, scorers and picker that select a server
+// for one kind of request.
 type Profile struct {
 	Filters []Filter
 	Scorers []WeightedScorer
--- a/route/filter_memory.go
+++ b/route/filter_memory.go
@@ -1,7 +1,8 @@
 package route
 
 // MemoryFilter drops decode engines whose total memory is too small for the request.
-// The steward decides whether enough of it is free at the moment, since reports lag.
+// The steward (the instance that grants reservations at the engine) decides whether
+// enough of it is free at the moment, since reports lag.
 type MemoryFilter struct{}
 
 // Name implements Filter.
--- a/route/filter_room.go
+++ b/route/filter_room.go
@@ -1,7 +1,8 @@
 package route
 
 // RoomFilter drops decode engines that would have too little KV memory left with the
-// request, by the commitments of this instance and its siblings.
+// request, by the commitments (the requests and memory assigned to servers) of this
+// instance and its siblings.
 type RoomFilter struct{}
 
 // roomFilterName is the name of RoomFilter.
--- a/route/forwarding.go
+++ b/route/forwarding.go
@@ -2,12 +2,15 @@
 
 import "time"
 
-// Profiles for requests that are forwarded unchanged. Siblings send each other their
-// commitments, so no request goes to a steward. The engine itself reserves memory.
+// Scheduling profiles (the filters, scorers and picker for one kind of request) for
+// requests that are forwarded unchanged. Siblings send each other their commitments
+// (the requests and memory that an instance has assigned to servers), so no request
+// goes to a steward (the instance that grants reservations at an engine). The engine
+// itself reserves memory.
 
-// maxNormalSilence is longer than a busy server usually takes to answer. Plain calls
-// take 60 ms on average and 450 ms at most, and a decode engine sends an event every
-// 60 ms (source: the users' sheets).
+// maxNormalSilence is longer than a busy server usually takes to answer. Calls to plain
+// services (without models) take 60 ms on average and 450 ms at most, and a decode
+// engine sends an event every 60 ms (source: the reference workload).
 const maxNormalSilence = 500 * time.Millisecond
 
 var forwardingFilters = append([]Filter{SilentFilter{Limit: maxNormalSilence}, BackoffFilter{}, LimitFilter{}, RefusingFilter{}}, commonFilters...)
@@ -25,11 +28,11 @@
 	}
 }
 
-// ForwardDecode returns the profile that selects decode engines. It selects the
-// better of two drawn at random, since instances that have not yet received each
-// other's commitments would all send to the best one. The zone in the query is that
-// of the prefill engine: a transfer to another zone takes twice as long and costs up
-// to three times as much.
+// ForwardDecode returns the profile that selects decode engines. It selects the better
+// of two drawn at random, since instances that have not yet received each other's
+// commitments would all send to the best engine. The zone in the query is that of the
+// prefill engine: a transfer to another zone takes twice as long and costs up to three
+// times as much.
 func ForwardDecode() *Profile {
 	return &Profile{
 		Filters: append([]Filter{RoomFilter{}}, forwardingFilters...),
--- a/route/headroom.go
+++ b/route/headroom.go
@@ -18,9 +18,10 @@
 	maxHeadroom = 12
 )
 
-// Headroom returns how many pieces must stay free when a request is promised memory.
-// overShare is AdmissionSlot.ShareRatio. below is how many steps the request's priority is
-// below the highest.
+// Headroom returns how many memory pieces (the unit of KV cache memory, 2,000 tokens)
+// must stay free when a request is promised memory. overShare is
+// AdmissionSlot.ShareRatio. below is how many steps the request's priority is below the
+// highest.
 func Headroom(overShare float64, below int) int {
 	pieces := piecesPerPriorityStep * below
 	if overShare > 1 {
--- a/route/lengths.go
+++ b/route/lengths.go
@@ -21,15 +21,15 @@
 }
 
 const (
-	// guessError is the standard deviation of the logarithm of a guess's error
-	// (source: the users' sheets).
+	// guessError is the standard deviation of the logarithm of a guess's error (source:
+	// the reference workload).
 	guessError = 0.5
 	// minGuesses is how many guesses must be known before they are corrected towards
 	// their mean. With ten guesses, the mean is off by 0.25 of the logarithm.
 	minGuesses = 10
 	// minGuessWeight is the least weight of the guess itself, for guesses that vary
-	// less than their error implies. It is half of the weight that guesses have on
-	// the users' sheets.
+	// less than their error implies. It is half of the weight that guesses have in the
+	// reference workload.
 	minGuessWeight = 0.3
 )
 
--- a/route/lengths_test.go
+++ b/route/lengths_test.go
@@ -25,7 +25,7 @@
 }
 
 // The logarithm of lengths has a standard deviation of 0.6, and the logarithm of
-// guesses' errors one of guessError, as on the users' sheets.
+// guesses' errors one of guessError, as in the reference workload.
 func TestExpectedLengthIsCloserThanGuess(t *testing.T) {
 	var lengths Lengths
 	random := rand.New(rand.NewPCG(3, 4))
--- a/route/pauses.go
+++ b/route/pauses.go
@@ -16,8 +16,8 @@
 }
 
 const (
-	// pauseQuantile is the fraction of the pauses that do not exceed the estimate.
-	// The size to design for has a target for 95 in 100 pauses.
+	// pauseQuantile is the fraction of the pauses that do not exceed the estimate. The
+	// reference workload has a target for 95 in 100 pauses.
 	pauseQuantile = 0.95
 	// pauseStep is the fraction of the estimate by which an observation moves it. The
 	// estimate halves within 280 shorter pauses and doubles within 15 longer ones.
--- a/route/profiles.go
+++ b/route/profiles.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// PlainProfile returns the profile that selects servers of plain services.
+// PlainProfile returns the profile that selects servers of plain services (without
+// models).
 func PlainProfile() *Profile {
 	return &Profile{
 		Filters: commonFilters,
--- a/route/refusal.go
+++ b/route/refusal.go
@@ -12,7 +12,7 @@
 const (
 	// initialRefusalBackoff is the backoff after one refusal. It is about the time in
 	// which a full engine finishes a request at the peak, twenty a second over seven
-	// engines (source: the users' sheets).
+	// engines (source: the reference workload).
 	initialRefusalBackoff = 50 * time.Millisecond
 	// maxBackoff limits the backoff after many failures in a row.
 	maxBackoff = 1600 * time.Millisecond
@@ -69,10 +69,10 @@
 // HandoffDone records that a prefill result of the server was used.
 func (s *Server) HandoffDone() { s.handoffBackoff.reset() }
 
-// misdirectedBackoff is the backoff from a server that is not the listed one, or not
-// in its listed role. The list of servers lags by a second, and the entry of a server
-// whose process has exited expires after three of its heartbeats (source: the users'
-// settings, 1.2 s each).
+// misdirectedBackoff is the backoff from a server that is not the listed server, or not
+// in its listed role. The list of backend servers lags by a second, and the entry of a
+// server whose process has exited expires after three of its heartbeats (source: the
+// reference deployments, 1.2 s each).
 const misdirectedBackoff = 3600 * time.Millisecond
 
 // Misdirected records that another server answered in place of this one, or that this
--- a/route/scorer_free.go
+++ b/route/scorer_free.go
@@ -1,7 +1,7 @@
 package route
 
-// FreeScorer prefers engines with more free KV memory, by the commitments of this
-// instance and its siblings.
+// FreeScorer prefers engines with more free KV memory, by the commitments (the requests
+// and memory assigned to servers) of this instance and its siblings.
 type FreeScorer struct{}
 
 // Name implements Scorer.
--- a/route/scorer_idle.go
+++ b/route/scorer_idle.go
@@ -1,6 +1,7 @@
 package route
 
-// IdleScorer prefers servers of plain services that have fewer requests.
+// IdleScorer prefers servers of plain services (without models) that have fewer
+// requests.
 type IdleScorer struct{}
 
 // Name implements Scorer.
--- a/route/scorer_reported.go
+++ b/route/scorer_reported.go
@@ -1,7 +1,7 @@
 package route
 
-// ReportedScorer scores a server by its last report alone, like a router that does
-// not track what it and others have sent since.
+// ReportedScorer scores a server by its last report alone, like a router that does not
+// track what it and other instances have sent since.
 type ReportedScorer struct{}
 
 // Name implements Scorer.
--- a/route/scorer_room.go
+++ b/route/scorer_room.go
@@ -1,8 +1,9 @@
 package route
 
 // RoomScorer prefers decode engines with more free memory. The free memory is the
-// smaller of two values: the last report, and the engine's pieces less this
-// instance's requests in flight, since the report lags behind what was just sent.
+// smaller of two values: the last report, and the engine's memory pieces (the unit of
+// KV cache memory, 2,000 tokens) less this instance's requests in flight, since the
+// report lags behind what was just sent.
 type RoomScorer struct{}
 
 // Name implements Scorer.
--- a/route/server.go
+++ b/route/server.go
@@ -26,7 +26,8 @@
 	WaitingTokens int
 	// Running counts requests at the server.
 	Running int
-	// FreePieces counts free memory pieces of a decode engine.
+	// FreePieces counts free memory pieces (the unit of KV cache memory, 2,000 tokens)
+	// of a decode engine.
 	FreePieces int
 	// Leaving is set if the server is about to stop.
 	Leaving bool
--- a/route/sharedbudget.go
+++ b/route/sharedbudget.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// SharedBudget is one instance's share of a retry budget that all instances spend
-// from: in any window, a ratio of the first attempts plus a fixed allowance. Half of
-// the instance's share of the allowance can be saved up, and half is refilled over a
-// window, so no window sees more than the whole share. Use NewSharedBudget to create
-// one.
+// SharedBudget is one instance's share of a retry budget that all instances spend from:
+// in any window, a ratio of the first attempts (the first try of each request) plus a
+// fixed allowance. Half of the instance's share of the allowance can be saved up, and
+// half is refilled over a window, so no window sees more than the whole share. Use
+// NewSharedBudget to create one.
 type SharedBudget struct {
 	mu        sync.Mutex
 	ratio     float64
--- a/route/silence.go
+++ b/route/silence.go
@@ -27,7 +27,7 @@
 	return func() { s.silence.waiting.Add(-1) }
 }
 
-// RecordContact records that something was received from the server.
+// RecordContact records that an answer, or a part of one, was received from the server.
 func (s *Server) RecordContact(now time.Time) { s.silence.since.Store(int64(now.Sub(epoch))) }
 
 // SilentFor returns how long the server has sent nothing while requests wait; 0 if
--- a/route/sizes.go
+++ b/route/sizes.go
@@ -28,10 +28,10 @@
 	// minEnded is how many requests must have ended before their spread replaces the
 	// error of callers' guesses.
 	minEnded = 20
-	// spareDeviations is how many standard deviations of what the requests of an
-	// engine generate stay free. One engine in twenty outgrows it (the normal
-	// distribution's 95 in 100). A value of 0.8 scores 0.013 less where answers are
-	// as long as prompts, and 0.004 more where they are a fifth as long.
+	// spareDeviations is how many standard deviations of what the requests of an engine
+	// generate stay free. The requests of one engine in twenty outgrow it (the normal
+	// distribution's 95 in 100). A value of 0.8 scores 0.013 less where answers are as
+	// long as prompts, and 0.004 more where they are a fifth as long.
 	spareDeviations = 1.645
 )
 
@@ -63,8 +63,8 @@
 }
 
 // Spare returns the fraction of an engine's memory that must stay free for requests
-// that outgrow their expected length. Once a request must be preempted, the reading
-// of its prompt delays all others of its engine. The sum of n independent errors
+// that outgrow their expected length. Once a request must be preempted, the reading of
+// its prompt delays all other requests of its engine. The sum of n independent errors
 // spreads as the square root of n.
 func (s *Sizes) Spare(memory int) float64 {
 	s.mu.Lock()
--- a/route/steward.go
+++ b/route/steward.go
@@ -7,7 +7,7 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// ReservationKey identifies the reservation of one attempt of a request.
+// ReservationKey identifies the reservation of one attempt (one try) of a request.
 type ReservationKey struct {
 	RequestID string `json:"request_id"`
 	Attempt   int    `json:"attempt"`
@@ -17,7 +17,8 @@
 // prefill engine's queue.
 type Demand struct {
 	ReservationKey
-	// Pieces is the memory requested from a decode engine; 0 for a prefill engine.
+	// Pieces is the memory requested from a decode engine, in memory pieces (the unit
+	// of KV cache memory, 2,000 tokens); 0 for a prefill engine.
 	Pieces int
 	// ArrivesIn is the time until the KV cache is expected to arrive. HoldFor is how
 	// long the memory is then expected to be held.
@@ -70,8 +71,8 @@
 	expires time.Time
 	// freeAt is when the memory is expected to be free again.
 	freeAt time.Time
-	// released is when the home released the reservation. The engine's report may
-	// still show it if it was taken earlier.
+	// released is when the home (the instance that the caller is connected to) released
+	// the reservation. The engine's report may still show it if it was taken earlier.
 	released time.Time
 }
 
@@ -195,8 +196,8 @@
 }
 
 // ahead counts the tokens that are promised a turn and not yet read. Tokens that the
-// engine reports beyond them were promised by an earlier steward, or by none. They
-// count only while nothing is promised.
+// engine reports beyond them were promised by an earlier steward, or by no steward.
+// They count only while nothing is promised.
 func (l *workerLedger) ahead(now time.Time) int {
 	promised := 0
 	for _, h := range l.holds {
