--- a/backpressure/bench_test.go
+++ b/backpressure/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkLook measures the check of one server, which is on the path of each request.
+// BenchmarkLook measures Check for one server, which is on the path of each request.
 func BenchmarkLook(b *testing.B) {
 	now := time.Now()
 	for name, report := range map[string]StatusReport{"no limit": noLimit, "limited": limitOf(5)} {
--- a/backpressure/cold.go
+++ b/backpressure/cold.go
@@ -3,7 +3,7 @@
 import "time"
 
 // cold is the rate that a server which has just started can handle until it is warm. It works
-// like a rate limit, but it comes from the list of servers and its end is known.
+// like a rate limit, but it comes from the list of backend servers and its end is known.
 type cold struct {
 	// rate is in requests a second, from all instances together. senders is the number of
 	// instances that share it.
--- a/backpressure/cold_test.go
+++ b/backpressure/cold_test.go
@@ -8,7 +8,8 @@
 )
 
 // coldRates are rates in requests a second that a cold server can handle. coldOverage and
-// coldSlack give what it may get beyond the rate in any second (source: the users' rules).
+// coldSlack give what it may get beyond the rate in any second (source: the service
+// requirements).
 var coldRates = []float64{0.5, 3, 29, 200}
 
 const (
--- a/backpressure/drain.go
+++ b/backpressure/drain.go
@@ -13,7 +13,7 @@
 }
 
 // drainSentFor is how long a drain is sent to siblings. It is longer than any server takes to
-// drain (source: the users' protocol, many seconds at times).
+// drain (source: the platform's protocol, many seconds at times).
 const drainSentFor = time.Hour
 
 // shouldSend reports whether the drain is sent to siblings.
--- a/backpressure/instances.go
+++ b/backpressure/instances.go
@@ -30,9 +30,9 @@
 func (i *Instances) reachable() float64 { return float64(max(len(i.Active), 1)) / float64(i.total()) }
 
 // sendersPerRate is the number of instances, beyond the first, that send to a limited server
-// for each request a second that the server accepts. Each of them may send a burst at once,
-// and all bursts together must stay within the tolerance: 5 requests, and half of what the
-// limit allows in 4 s (source: the users' rules).
+// for each request a second that the server accepts. Each of them may send a burst at once, and
+// all bursts together must stay within the tolerance: 5 requests, and half of what the limit
+// allows in 4 s (source: the service requirements).
 const sendersPerRate = 1.0
 
 // sendersFor returns the number of instances that share a limit.
--- a/backpressure/limit_test.go
+++ b/backpressure/limit_test.go
@@ -159,7 +159,7 @@
 }
 
 // limitWindow is the time over which a limit is judged. tolerance is the number of requests
-// that a server may get in it (source: the users' rules).
+// that a server may get in it (source: the service requirements).
 const limitWindow = 4 * time.Second
 
 func tolerance(rate float64) float64 { return 1.5*rate*limitWindow.Seconds() + 5 }
--- a/backpressure/rest.go
+++ b/backpressure/rest.go
@@ -19,8 +19,8 @@
 	jitterFraction = 0.1
 	maxJitter      = 300 * time.Millisecond
 	// trialTimeout is how long an instance waits for the answer to the one request after a
-	// backoff before it sends another. It is longer than the usual answer time of a busy
-	// server (source: the users' sheets, 0.45 s).
+	// backoff before it sends another. It is longer than the usual answer time of a busy server
+	// (source: the reference workload, 0.45 s).
 	trialTimeout = time.Second
 )
 
@@ -36,8 +36,8 @@
 	return started
 }
 
-// blocks reports whether calls are withheld. After the backoff the server gets one request,
-// and the others once it has accepted that one.
+// blocks reports whether calls are withheld. After the backoff the server gets one request, and
+// the other requests once it has accepted this one.
 func (b *backoff) blocks(now time.Time) bool {
 	return now.Before(b.until) || (b.recovering && now.Sub(b.lastTrial) < trialTimeout)
 }
--- a/backpressure/server.go
+++ b/backpressure/server.go
@@ -42,13 +42,13 @@
 	tracker *Tracker
 	id      ID
 	// name, lastKnown and listed are guarded by the tracker's mutex. lastKnown is when the
-	// server was last on the list of servers or, before it is listed, when a sibling first
-	// reported it. listed is whether it is on the list now.
+	// server was last on the list of backend servers or, before it is listed, when a sibling
+	// first reported it. listed is whether it is on that list now.
 	name      string
 	lastKnown time.Time
 	listed    bool
-	// reported is set once the server has reported anything that can withhold calls. Until
-	// then requests pass without taking the lock.
+	// reported is set once the server has reported a limit, a drain or a backoff, each of which
+	// can withhold calls. Until then requests pass without taking the lock.
 	reported atomic.Bool
 
 	// wasCold is set once SetCold has been called.
@@ -211,7 +211,8 @@
 // at once: a server may report a change with each answer.
 const urgentInterval = 100 * time.Millisecond
 
-// markReported notes that the server has reported something. The caller holds the lock.
+// markReported notes that the server has reported a limit, a drain or a backoff. The caller
+// holds the lock.
 func (s *Server) markReported() {
 	if s.reported.CompareAndSwap(false, true) {
 		s.tracker.restricted.Store(true)
--- a/backpressure/statement.go
+++ b/backpressure/statement.go
@@ -16,7 +16,7 @@
 	// Reserve has an engine reserve memory, and Release releases the reservation.
 	Reserve
 	Release
-	// Move copies the memory of a generation to another engine.
+	// Move copies the memory of a running stream to another engine.
 	Move
 	// Free releases the result of a prefill or of a move.
 	Free
@@ -60,7 +60,7 @@
 	ResumeStoppedWork = Work{Kind: Decode, Calls: 1, FollowUp: true}
 	MoveWork          = Work{Kind: Move, Calls: 1, FollowUp: true}
 	FreeWork          = Work{Kind: Free, Calls: 1, FollowUp: true}
-	// OrderWork also counts the report by which the order is decided.
+	// OrderWork also counts the report by which the order to change a server's role is decided.
 	OrderWork = Work{Kind: Order, Calls: 2}
 )
 
--- a/backpressure/tracker.go
+++ b/backpressure/tracker.go
@@ -51,13 +51,13 @@
 	// observations is the last number given to an answer.
 	observations atomic.Uint64
 
-	// restricted is set once any server has reported something that can withhold calls, or was
+	// restricted is set once any server has reported a limit, a drain or a backoff, or was
 	// cold.
 	restricted atomic.Bool
 
 	mu      sync.Mutex
 	servers map[ID]*Server
-	// reporting holds the servers that have reported something.
+	// reporting holds the servers that have reported a limit, a drain or a backoff.
 	reporting map[ID]*Server
 	// nextRepeat is the position of the next server whose state is repeated to siblings though
 	// it has not changed recently.
@@ -124,11 +124,12 @@
 }
 
 // forgetAfter is how long the state of a server is kept once the server is no longer on the
-// list of servers. Its entry may expire while the platform's store is unreachable, and come
-// back.
+// list of backend servers. Its entry may expire while the platform's store is unreachable, and
+// come back.
 const forgetAfter = 2 * time.Minute
 
-// Prune forgets the servers that have been off the list of servers for longer than forgetAfter.
+// Prune forgets the servers that have been off the list of backend servers for longer than
+// forgetAfter.
 func (t *Tracker) Prune(known func(run string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -143,11 +144,12 @@
 	}
 }
 
-// AnyRestricted reports whether any server has reported something or was cold. Only then does it
-// matter which instances share the rates of such servers.
+// AnyRestricted reports whether any server has reported a limit, a drain or a backoff, or was
+// cold. Only then does it matter which instances share the rates of such servers.
 func (t *Tracker) AnyRestricted() bool { return t.restricted.Load() }
 
-// Count returns the number of servers that have reported something and match a condition.
+// Count returns the number of servers that have reported a limit, a drain or a backoff and
+// match a condition.
 func (t *Tracker) Count(matches func(*Server) bool) int {
 	count := 0
 	for _, server := range t.reportingServers() {
@@ -188,21 +190,21 @@
 	return count
 }
 
-// addReporting notes that a server has reported something.
+// addReporting notes that a server has reported a limit, a drain or a backoff.
 func (t *Tracker) addReporting(server *Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reporting[server.id] = server
 }
 
-// reportingServers returns the servers that have reported something.
+// reportingServers returns the servers that have reported a limit, a drain or a backoff.
 func (t *Tracker) reportingServers() []*Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Collect(maps.Values(t.reporting))
 }
 
-// isListed reports whether a server is on the list of servers.
+// isListed reports whether a server is on the list of backend servers.
 func (t *Tracker) isListed(server *Server) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/backpressure/update.go
+++ b/backpressure/update.go
@@ -86,9 +86,9 @@
 	return updates
 }
 
-// serversToSend returns the servers whose state is sent to siblings, sorted by ID. Only
-// servers on the list are sent: instances would repeat the state of the others to each other
-// for ever.
+// serversToSend returns the servers whose state is sent to siblings, sorted by ID. Only servers
+// on the list of backend servers are sent: instances would repeat the state of unlisted servers
+// to each other for ever.
 func (t *Tracker) serversToSend(now time.Time) []*Server {
 	all := slices.DeleteFunc(t.reportingServers(), func(server *Server) bool { return !t.isListed(server) || !server.shouldSend(now) })
 	slices.SortFunc(all, func(a, b *Server) int { return cmp.Compare(a.id, b.id) })
