--- a/allotment/gossip.go
+++ b/allotment/gossip.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Spent is the total that one instance, or the zone of a hub, has admitted for a team since it
-// started, in units. It can fall: the cost of requests that never ran is released.
+// Spent is the total that one instance, or the zone of a hub (an instance that exchanges
+// messages with other zones for its zone), has admitted for a team since it started, in units.
+// It can fall: the cost of requests that never ran is released.
 type Spent struct {
 	Team  ID    `cbor:"1,keyasint"`
 	Total int64 `cbor:"2,keyasint"`
@@ -24,8 +25,8 @@
 	Total int64 `cbor:"3,keyasint"`
 }
 
-// Spent returns the totals of this instance that are sent to others: those that have changed
-// within Config.RepeatFor.
+// Spent returns the totals of this instance that are sent to other instances: those that have
+// changed within Config.RepeatFor.
 func (l *Ledger) Spent(now time.Time) []Spent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +80,7 @@
 	}
 }
 
-// ApplyZone applies what a hub of another zone knows.
+// ApplyZone applies the balances and totals that a hub of another zone sent.
 func (l *Ledger) ApplyZone(hub string, incarnation uint64, balances []Balance, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,7 +103,7 @@
 	// Known is the time up to which the hub knew what this instance had spent.
 	Known time.Time
 	// Due is when the next message is expected. It is zero for an instance that receives
-	// messages from all others itself.
+	// messages from all other instances itself.
 	Due time.Time
 }
 
@@ -122,7 +123,7 @@
 }
 
 // DropHub ends the expectation of a next message from a hub, once this instance receives
-// messages from the others itself.
+// messages from the other instances itself.
 func (l *Ledger) DropHub(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,7 +168,7 @@
 	return total - previous, true
 }
 
-// deduct subtracts what others have spent from a bucket.
+// deduct subtracts what other instances have spent from a bucket.
 func (l *Ledger) deduct(a *bucket, spent int64, now time.Time) {
 	if spent == 0 {
 		return
--- a/allotment/ledger.go
+++ b/allotment/ledger.go
@@ -8,8 +8,8 @@
 // instance that does not receive messages from all others uses only its share of the rate.
 //
 // Fixed shares of the rate would need no messages, but with 60 instances each of the smallest
-// teams of the users' sheets would have a sixteenth of a request a second at each instance
-// (TestFixedSharesStarveSmallTeams).
+// teams of the reference workload (the load that the service is designed for) would have a
+// sixteenth of a request a second at each instance (TestFixedSharesStarveSmallTeams).
 package allotment
 
 import (
@@ -31,8 +31,8 @@
 	// Slack is what a team may use at once beyond its burst, in units. It avoids refusals for
 	// teams that keep to their rate on average when some of their requests arrive together.
 	Slack float64
-	// RepeatFor is how long a change of a total is repeated to others. It is longer than
-	// several lost datagrams in a row.
+	// RepeatFor is how long a change of a total is repeated to other instances. It is longer
+	// than several lost datagrams in a row.
 	RepeatFor time.Duration
 	// RememberFor is how long the history of this instance's own total is kept. It is longer
 	// than the total takes to come back in a message of a hub.
@@ -40,7 +40,7 @@
 }
 
 // DefaultConfig suits some hundreds of instances that gossip several times a second. Slack is
-// set by the deployment.
+// set separately (SetSlack).
 func DefaultConfig() Config {
 	return Config{RepeatFor: 1500 * time.Millisecond, RememberFor: 3 * time.Second}
 }
@@ -64,7 +64,7 @@
 	// Used is the fraction used of what the team may use at once, from 0 to 1.
 	Used float64
 	// Share is the share of the team's rate that this instance could use. Known is the time
-	// since the last message from others, or 0 if there was none.
+	// since the last message from other instances, or 0 if there was none.
 	Share float64
 	Known time.Duration
 	// Wait is how long it takes until the balance is positive, if no other instance admits
@@ -82,7 +82,7 @@
 	// nextUpdateDue is when the next message of the hub is expected. It is zero for an
 	// instance that follows no hub.
 	nextUpdateDue time.Time
-	// lastContact is when the last message from others arrived.
+	// lastContact is when the last message from other instances arrived.
 	lastContact time.Time
 	teams       map[string]*bucket
 	byID        map[ID][]*bucket
@@ -102,8 +102,8 @@
 	totals      map[ID]int64
 }
 
-// New returns a ledger without teams, for an instance that has received nothing from others
-// yet.
+// New returns a ledger without teams, for an instance that has received nothing from other
+// instances yet.
 func New(config Config, random func() float64) *Ledger {
 	return &Ledger{
 		config: config, random: random, share: 1,
@@ -238,11 +238,12 @@
 	return time.Duration(float64(passed-overdue)*l.share - float64(overdue)*overdueSpendFactor)
 }
 
-// overdueSpendFactor is what others are assumed to spend of a team, as a multiple of its rate,
-// while the next message of the hub is overdue. All members have the same balance. When the
-// balance of a busy team was small, each of 119 members admitted that much after its hubs had
-// stopped sending, in all 1.10 of the tolerance (TestATeamIsKeptToItsRateWithoutHubs). A team
-// that has used less than its rate has a balance large enough to be served meanwhile.
+// overdueSpendFactor is what other instances are assumed to spend of a team, as a multiple of
+// its rate, while the next message of the hub is overdue. All members of a hub (the instances
+// that receive its messages) have the same balance. When the balance of a busy team was small,
+// each of 119 members admitted that much after its hubs had stopped sending, in all 1.10 of the
+// tolerance (TestATeamIsKeptToItsRateWithoutHubs). A team that has used less than its rate has
+// a balance large enough to be served meanwhile.
 const overdueSpendFactor = 4.0
 
 // bucket is one instance's token bucket for one team.
--- a/allotment/play_test.go
+++ b/allotment/play_test.go
@@ -11,7 +11,7 @@
 	"github.com/mastwheel/mastwheel/racedetector"
 )
 
-// The users' figures: 0.1 of the bound and 120,000 tokens are tolerated in any 8 s.
+// The service requirements: 0.1 of the bound and 120,000 tokens are tolerated in any 8 s.
 const (
 	window       = 8 * time.Second
 	overage      = 0.1
@@ -20,7 +20,7 @@
 	step         = 10 * time.Millisecond
 	meanCost     = 7700 // prompt and output of a stream, in tokens
 	freshFor     = 300 * time.Millisecond
-	largestRate  = 213_644 // of the users' largest team, tokens a second
+	largestRate  = 213_644 // of the largest team in the reference workload, tokens a second
 	smallestRate = 29_000
 )
 
