--- a/forward/crowd_test.go
+++ b/forward/crowd_test.go
@@ -20,11 +20,11 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// A simulation has many instances in front of few engines, on a virtual clock. Each
-// instance decides by itself and learns the commitments of the others with a delay of some
-// heartbeats. The sizes are a fifth of the users' deployment of 295 instances: 14 engines
-// with 24 slots and 62,870 tokens each, prompts with a mean of 5,200 tokens, and answers
-// with a mean of 69 events of 64 tokens.
+// A simulation has many instances in front of few engines, on a virtual clock. Each instance
+// decides by itself and learns the commitments (the requests and memory that an instance has
+// assigned to servers) of the others with a delay of some heartbeats. The sizes are a fifth of
+// the reference deployment of 295 instances: 14 engines with 24 slots and 62,870 tokens each,
+// prompts with a mean of 5,200 tokens, and answers with a mean of 69 events of 64 tokens.
 const (
 	simInstances      = 59
 	simPrefillEngines = 3
@@ -154,7 +154,8 @@
 }
 
 // burstFactor returns the factor by which bursts raise the arrival rate at a moment. The
-// users' heaviest days have three bursts of some seconds with twice the traffic.
+// heaviest days of the reference workload have three bursts of some seconds with twice the
+// traffic.
 func burstFactor(at time.Duration) float64 {
 	for _, burst := range []struct {
 		from, to time.Duration
--- a/forward/decision.go
+++ b/forward/decision.go
@@ -69,7 +69,7 @@
 }
 
 // logOneIn is the sampling of served requests in the log: one in logOneIn is logged. All
-// requests that were not served are logged, up to the limit of lines.
+// requests that were not served are logged, as far as logLimit allows.
 const logOneIn = 50
 
 // shouldLog reports whether the request is written to the log.
--- a/forward/flow.go
+++ b/forward/flow.go
@@ -51,8 +51,8 @@
 	// mayHaveRun is set once a backend server may have run the request.
 	mayHaveRun bool
 	// unavailable is the reason why the last choice found no server, if healthy servers exist
-	// but none of them accepts the work at that moment. availableAt is when the first of them
-	// will.
+	// but none of them accepts the work at that moment. availableAt is when the first of those
+	// servers will accept it.
 	unavailable reason.Reason
 	availableAt time.Time
 	// decisions are the decisions for the request so far.
@@ -84,8 +84,8 @@
 	return servers.Decode[service]
 }
 
-// plainServers returns the servers of a plain service. The engines of a model service also
-// answer plain requests.
+// plainServers returns the servers of a plain service (without models). The engines of a model
+// service also answer plain requests.
 func plainServers(servers *Servers, service string) []*table.BackendView {
 	if plain := servers.Plain[service]; len(plain) > 0 {
 		return plain
@@ -116,7 +116,8 @@
 	return &stepError{why: reason.DeadlineTooClose, detail: err.Error()}
 }
 
-// choose selects one of the servers by a profile; nil if all were dropped.
+// choose selects one of the servers by a scheduling profile (the filters, scorers and picker
+// for one kind of request); nil if all servers were dropped.
 func (f *flow) choose(profile *route.Profile, from pool) *route.ScoredCandidate {
 	return f.chooseFor(f.query(), profile, from)
 }
@@ -170,7 +171,7 @@
 }
 
 // entry returns the registry entry that a selected server had when it was selected. The server
-// may be gone from the list by now.
+// may be gone from the list of backend servers by now.
 func (f *flow) entry(chosen *route.ScoredCandidate) *registry.Entry { return f.entries[chosen.Name] }
 
 // retryAfter returns the delay after which a refused caller should come back.
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,7 +1,8 @@
 // Package forward forwards callers' requests to backend servers unchanged and returns the
-// servers' answers. A plain request goes to one server. A generation goes through a prefill
-// engine and a decode engine. The package decides which servers to use, how often to retry and
-// when to stop, and its replies state whether a request that it gave up may have run.
+// servers' answers. A plain request (to a service without a model) goes to one server. A
+// generation (a request to a model service) goes through a prefill engine and a decode engine.
+// The package decides which servers to use, how often to retry and when to stop, and its
+// replies state whether a request that it gave up may have run.
 package forward
 
 import (
@@ -96,8 +97,7 @@
 
 // DecodeRequest tells a decode engine where to get a request's KV cache.
 type DecodeRequest struct {
-	// Source is the engine that holds the result; nil if the decode engine reads the prompt
-	// itself.
+	// Source is the engine that holds Result; nil if the decode engine reads the prompt itself.
 	Source      *registry.Entry
 	Result      PrefillHandle
 	Reservation Reservation
@@ -121,10 +121,10 @@
 	// refuses connections. It returns false for a server that is silent or whose address
 	// cannot be reached.
 	HasExited(ctx context.Context, server *registry.Entry) bool
-	// Move copies the memory of a run to another engine. With last set the run is stopped
-	// first, and its stream ends without an end marker. If the error is a *NotRunError the result
-	// may be set nevertheless: then the run has stopped, and its memory is kept at the engine
-	// where it ran.
+	// Move copies the KV memory of a running stream to another engine, where the stream can
+	// continue. With last set the run is stopped first, and its stream ends without an end
+	// marker. If the error is a *NotRunError the result may be set nevertheless: then the run
+	// has stopped, and its KV memory is kept at the engine where it ran.
 	Move(ctx context.Context, from, to *registry.Entry, r *Request, last bool) (PrefillHandle, error)
 	// Decode runs the request and returns its stream.
 	Decode(ctx context.Context, server *registry.Entry, r *Request, order DecodeRequest, deadline time.Time) (*Stream, error)
--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -61,15 +61,15 @@
 	ReservePause time.Duration
 	// CleanupTimeout bounds the release of the resources of one request.
 	CleanupTimeout time.Duration
-	// RefuseWithin is the fraction of the first-token target within which a request that
-	// cannot be served must be refused for its caller to lose least (source: the users' rules,
+	// RefuseWithin is the fraction of the first-token target within which a request that cannot
+	// be served must be refused for its caller to lose least (source: the service requirements,
 	// a quarter).
 	RefuseWithin float64
 	// RetryEarliest and RetryLatest bound the delay after which a refused caller should come
-	// back, as fractions of the time that it has left. Callers honour a third at most (source:
-	// the users' protocol). The delay is drawn at random between them, so that callers that
-	// were refused together do not return together. Later callers find that the burst that
-	// caused the refusals is over.
+	// back, as fractions of the time that it has left. Callers wait at most a third of the time
+	// left (source: the platform's protocol). The delay is drawn at random between them, so
+	// that callers that were refused together do not return together. Later callers find that
+	// the burst that caused the refusals is over.
 	RetryEarliest float64
 	RetryLatest   float64
 	// FirstTokenMargin is the time kept between the expected first token and its target, for the
@@ -100,7 +100,7 @@
 	// another engine. A reservation and the transfer take that long.
 	PrefillExpiryMargin time.Duration
 	// EventPause is the assumed pause between two events of a stream until pauses have been
-	// observed (source: the users' sheets, 64 tokens of 0.8 ms).
+	// observed (source: the reference workload, 64 tokens of 0.8 ms).
 	EventPause time.Duration
 	// AllotmentSpread is the interval over which callers of a team that is over its allotment
 	// come back, after the time when the team has balance again. The table states allotments
@@ -108,7 +108,8 @@
 	AllotmentSpread time.Duration
 }
 
-// DefaultConfig returns values that suit the sizes in the users' sheets.
+// DefaultConfig returns values that suit the reference workload (the load and machine figures
+// that the service is designed for).
 func DefaultConfig() Config {
 	return Config{
 		ReserveTimeout:       150 * time.Millisecond,
@@ -176,8 +177,8 @@
 	cleanups sync.WaitGroup
 }
 
-// Limits on logged requests. They allow every refusal of a burst at the users' sizes, with
-// some five lines each, and write a few hundred kilobytes a second at most.
+// Limits on logged requests. They allow every refusal of a burst in the reference workload,
+// with some five lines each, and write a few hundred kilobytes a second at most.
 const (
 	logPerSecond = 60
 	logBurst     = 300
@@ -208,7 +209,7 @@
 	return known.(*route.Lengths)
 }
 
-// sizesOf returns the sizes of a service's requests.
+// sizesOf returns the estimates of the KV memory of a service's requests.
 func (g *Gateway) sizesOf(service string) *route.Sizes {
 	known, _ := g.sizes.LoadOrStore(service, new(route.Sizes))
 	return known.(*route.Sizes)
--- a/forward/generate.go
+++ b/forward/generate.go
@@ -115,7 +115,7 @@
 }
 
 // startDecode starts the stream at the decode engine that has the reservation. If that engine
-// began to leave while the prompt was read, another one is used: an engine must get no new
+// began to leave while the prompt was read, another engine is used: an engine must get no new
 // work from one second after it reported its drain.
 func (g *generation) startDecode() (*Stream, *stepError) {
 	if g.isLeaving(g.decode.Name) {
@@ -140,7 +140,7 @@
 		if g.result != "" {
 			g.prefill.Server.HandoffDone()
 		}
-		// The engine has used up both.
+		// The engine has used up the reservation and the prefill result.
 		g.reservation, g.result = "", ""
 		return stream, nil
 	}
--- a/forward/memory.go
+++ b/forward/memory.go
@@ -12,8 +12,8 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// reserve reserves memory at a decode engine. If there is none, it retries for a short while.
-// A caller that is refused within a fraction of its target loses least.
+// reserve reserves memory at a decode engine. If no engine has enough, it retries for a short
+// while. A caller that is refused within a fraction of its target loses least.
 func (g *generation) reserve() *stepError {
 	until := g.since.Add(time.Duration(g.config.RefuseWithin * float64(g.route.TTFT)))
 	for {
@@ -73,7 +73,7 @@
 	case g.unavailable != reason.None && len(g.tried) == 0:
 		return &stepError{why: g.unavailable, detail: "no decode engine accepts the request now"}
 	case g.readAtDecode:
-		return &stepError{why: reason.DeadlineTooClose, detail: "the prompts ahead in the queue take too long"}
+		return &stepError{why: reason.DeadlineTooClose, detail: "no engine can read the prompt in time"}
 	}
 	return &stepError{why: reason.NoDecodeMemory, detail: "no decode engine has enough free memory"}
 }
@@ -96,8 +96,8 @@
 	return most
 }
 
-// yield returns how much memory the request leaves free for others, as a multiple of the
-// spare.
+// yield returns how much memory the request leaves free for other requests, as a multiple of
+// the fraction that spare returns.
 func (g *generation) yield() float64 { return route.TeamFactor(g.allotmentUsed, g.config.TeamHeadroom) }
 
 // spare returns the fraction of an engine's memory that must stay free beside the request, for
@@ -195,18 +195,19 @@
 }
 
 // margin returns the fraction of the expected tokens for which memory is reserved. Memory
-// needed beyond that is found at the same engine or, if streams can move, at any other one.
-// The errors of length estimates over all streams of a service add up as a square root, so
-// each engine has to keep less of a margin the more engines there are.
+// needed beyond that is found at the same engine or, if running streams can be moved, at any
+// other engine. The errors of length estimates over all streams of a service add up as a square
+// root, so each engine has to keep less of a margin the more engines there are.
 func (f *flow) margin() float64 {
 	return f.config.LengthEstimateMargin * math.Sqrt(f.poolingFactor())
 }
 
 // poolingFactor returns the fraction of the margin for estimation errors that an engine still
-// needs if other engines help out. It is 1 with few engines, or if streams do not move. A
-// stream that moves because its engine has no memory leaves this fraction of the memory free
-// that new streams leave free. With 30 engines, 21 to 63 streams of a day were preempted when
-// moved streams left all of it free, 5 to 42 with 0.3 of it, and 34 to 66 with none.
+// needs if other engines help out. It is 1 with few engines, or if running streams are not
+// moved to other engines. A stream that is moved because its engine has no memory leaves this
+// fraction of the memory free that new streams leave free. With 30 engines, 21 to 63 streams of
+// a day of the reference workload with long answers were preempted when moved streams left all
+// of it free, 5 to 42 with 0.3 of it, and 34 to 66 with none.
 func (f *flow) poolingFactor() float64 {
 	if !f.service.Engine.Moves {
 		return 1
@@ -214,9 +215,9 @@
 	return min(marginEngines/float64(max(len(f.servers.Decode[f.service.Name]), 1)), 1)
 }
 
-// marginEngines is the number of engines up to which LengthEstimateMargin applies unreduced. Compared
-// with a margin of 0.6, a margin of 0.3 lowers the score of a day by 0.02 with 7 engines and
-// raises it by 0.04 with 30 engines.
+// marginEngines is the number of engines up to which LengthEstimateMargin applies unreduced.
+// Compared with a margin of 0.6, a margin of 0.3 lowers the score of a day of the reference
+// workload by 0.02 with 7 engines and raises it by 0.04 with 30 engines.
 const marginEngines = 7.0
 
 // expectedLength returns the caller's estimate of the tokens that a request generates, bounded
@@ -228,10 +229,10 @@
 	return want.MaxTokens
 }
 
-// expectedMemory estimates the KV memory that a request will need: its prompt and a fraction
-// of the tokens that it is expected to generate. While the request grows to its full size,
-// others end. A larger fraction keeps out requests that would have found room. With a smaller
-// one requests are preempted and their prompts read again.
+// expectedMemory estimates the KV memory that a request will need: its prompt and a fraction of
+// the tokens that it is expected to generate. While the request grows to its full size, other
+// requests end. A larger fraction keeps out requests that would have found room. With a smaller
+// fraction, requests are preempted and their prompts read again.
 func expectedMemory(want *Generation, expected int, margin float64) int {
 	return want.PromptTokens + int(float64(min(expected, want.MaxTokens))*margin)
 }
--- a/forward/move.go
+++ b/forward/move.go
@@ -12,12 +12,12 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// A stream moves to another engine together with its memory when its own engine is about to
-// run out of memory or is leaving. Without moves, an engine that runs out of memory preempts a
-// stream and reads it again, 3,500 to 5,200 tokens, while all its other streams pause. A
-// leaving engine breaks off the streams that outlast it. The memory of a stream, some 0.1 GB,
-// is transferred in a few milliseconds. The run stays the same, so streams that must not be
-// repeated can move too.
+// A running stream is moved to another engine, together with its KV memory, when its own engine
+// is about to run out of memory or is leaving. If no stream were moved, an engine that runs out
+// of memory preempts a stream and reads it again, 3,500 to 5,200 tokens, while all its other
+// streams pause. A leaving engine breaks off the streams that outlast it. The memory of a
+// stream, some 0.1 GB, is transferred in a few milliseconds. The run stays the same, so streams
+// that must not be repeated can be moved too.
 
 // move is the transfer of a stream from one decode engine to another.
 type move struct {
@@ -37,33 +37,35 @@
 }
 
 const (
-	// moveCheckInterval is the pause between two checks whether a stream should move.
-	// Commitments of other instances become known with that delay.
+	// moveCheckInterval is the pause between two checks whether a stream should move. The
+	// commitments (the requests and memory that an instance has assigned to servers) of other
+	// instances become known with that delay.
 	moveCheckInterval = 100 * time.Millisecond
 	// moveLead is how long before an engine runs out of memory a stream leaves it. It covers
-	// the age of what is known of the engine and the copying.
+	// the age of the known state of the engine and the time for copying.
 	moveLead = 300 * time.Millisecond
-	// maxMoves bounds the moves of one stream, because each costs a transfer of its memory.
+	// maxMoves bounds how often one stream is moved to another engine, because its memory is
+	// transferred each time.
 	maxMoves = 4
-	// moveCopyTimeout and moveStopTimeout bound the two calls of a move: the first copies
-	// while the run continues, the second copies the rest after the run has stopped. Callers
-	// tolerate a pause of 300 ms (source: the users' sheets).
+	// moveCopyTimeout and moveStopTimeout bound the two calls that move a stream: the first
+	// copies while the run continues, the second copies the rest after the run has stopped.
+	// Callers tolerate a pause of 300 ms (source: the reference workload).
 	moveCopyTimeout = 500 * time.Millisecond
 	moveStopTimeout = 400 * time.Millisecond
 	// moveStopAttempts is how often the second call is made if it gets no answer, because the
 	// run may have stopped.
 	moveStopAttempts = 2
-	// maxEventsToStay is the number of remaining events, for the longest possible answer, up
-	// to which a stream stays. It would end before the move does.
+	// maxEventsToStay is the number of remaining events, for the longest possible answer, up to
+	// which a stream stays. It would end before it has been moved.
 	maxEventsToStay = 4
 	// overrunFraction is how much more an answer that has outgrown its caller's estimate is
 	// expected to generate, as a fraction of what it has generated. Estimates are off by half
-	// in the mean (source: the users' sheets).
+	// in the mean (source: the reference workload).
 	overrunFraction = 0.3
 )
 
-// considerMove starts a move if the stream should leave its engine, or ends a move that has
-// failed.
+// considerMove starts moving the stream to another engine if it should leave its own, or ends a
+// move that has failed.
 func (r *relay) considerMove(now time.Time) {
 	if r.move != nil {
 		r.endFailedMove()
@@ -99,9 +101,9 @@
 	return reason.None
 }
 
-// selectedToMove reports whether this stream should leave an engine that runs out of memory.
-// It is true for each stream that has outgrown its expected size, and for about one of the
-// others, drawn at random. Other instances with streams at the engine see the same state.
+// selectedToMove reports whether this stream should leave an engine that runs out of memory. It
+// is true for each stream that has outgrown its expected size, and for about one of the other
+// streams, drawn at random. Other instances with streams at the engine see the same state.
 func (r *relay) selectedToMove() bool {
 	return r.committed > r.plannedMemory || r.Random()*float64(r.streamsAt(r.decode.Server)) < 1
 }
@@ -135,7 +137,7 @@
 }
 
 // destination chooses the engine to move to; nil if there is none. A stream whose engine is
-// leaving may use the memory that is kept free for others.
+// leaving may use the memory that is kept free for other streams.
 func (r *relay) destination(why reason.Reason, need int) *route.ScoredCandidate {
 	r.tried = append(r.tried[:0], r.decode.Name)
 	defer func() { r.tried = r.tried[:0] }()
@@ -198,7 +200,8 @@
 	r.endMove("failed")
 }
 
-// endMove removes a move that is over and releases what it holds at the other engine.
+// endMove ends the accounting for a move that is over. If the move failed, the memory that it
+// holds at the two engines is released.
 func (r *relay) endMove(outcome string) {
 	m := r.move
 	r.move = nil
--- a/forward/plain.go
+++ b/forward/plain.go
@@ -13,7 +13,8 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// call forwards a plain request to one server, and to another one only if that is allowed.
+// call forwards a plain request to one server, and to another server only if nextStep allows
+// it.
 func (f *flow) call(caller context.Context) *Reply {
 	if stopping := f.stopping.Load(); stopping != nil && clock.Until(stopping.ends) < f.config.PlainShutdownMargin {
 		return f.refuse(reason.Stopping, "the instance is stopping")
@@ -38,7 +39,8 @@
 const (
 	// final: the caller gets the result.
 	final verdict = iota
-	// retryFromBudget: another server is tried, which uses up an attempt.
+	// retryFromBudget: another server is tried, which uses up an attempt (one try of a
+	// request).
 	retryFromBudget
 	// retryUnreached: another server is tried, because the last one was not reached at all.
 	retryUnreached
--- a/forward/pressure_load_test.go
+++ b/forward/pressure_load_test.go
@@ -26,7 +26,7 @@
 	pressureInstances = 8
 	pressureServers   = 6
 	// pressureSlots is the number of requests that a server processes at once, and
-	// pressureWorkTime the time it takes for each, as in the users' workload.
+	// pressureWorkTime the time it takes for each, as in the reference workload.
 	pressureSlots    = 6
 	pressureWorkTime = 60 * time.Millisecond
 	// pressureTarget is the latency target of an answer, and pressureCallerTimeout the time
@@ -171,8 +171,8 @@
 	}
 }
 
-// caller sends one request and retries once if refused. It waits as long as Retry-After
-// says, but at most a third of the time left, as the users' protocol requires.
+// caller sends one request and retries once if refused. It waits as long as Retry-After says,
+// but at most a third of the time left, as the platform's protocol requires.
 func (d *pressureSim) caller(gateways []*Gateway, id int) {
 	random := rand.New(rand.NewPCG(uint64(id), 6))
 	began := time.Now()
--- a/forward/read.go
+++ b/forward/read.go
@@ -35,12 +35,12 @@
 }
 
 // decodeReadFactor is how many times longer a decode engine takes to read a prompt than a
-// prefill engine (source: the users' protocol, half the speed).
+// prefill engine (source: the platform's protocol, half the speed).
 const decodeReadFactor = 2
 
 // readChunkTokens is how many prompt tokens a decode engine reads between two tokens of its
-// streams, until pauses have been observed (source: the users' sheets and protocol, a quarter
-// of 1,024).
+// streams, until pauses have been observed (source: the reference workload and the platform's
+// protocol, a quarter of 1,024).
 const readChunkTokens = 256
 
 // pauseDuringRead estimates the pause between two events of the other streams of a decode
@@ -100,7 +100,7 @@
 }
 
 // mayReadAgain reports whether a prompt is read again after a failed try. An engine that was
-// not reached costs other requests nothing, so another one is tried without taking from the
+// not reached costs other requests nothing, so another engine is tried without taking from the
 // retry budget.
 func (g *generation) mayReadAgain(failed error, try int) bool {
 	var notRun *NotRunError
@@ -169,7 +169,7 @@
 	g.record(stepRetry, "read_at_decode", "why", refused.Why)
 	// The engine accepts a reservation only once, also for a request whose result it could not
 	// fetch. With the same reservation 68 of 75 requests were refused again (a day of the
-	// users' sheet on which results expire early).
+	// reference workload on which results expire early).
 	g.releaseUnused()
 	g.uncommit()
 	g.readAtDecode = true
@@ -194,8 +194,8 @@
 	return g.startDecode()
 }
 
-// isLeaving reports whether a server has begun to leave, by the list or by its own report, or
-// is gone.
+// isLeaving reports whether a server has begun to leave, by the list of backend servers or by
+// its own report, or is gone.
 func (g *generation) isLeaving(name string) bool {
 	entry := g.View.Servers().ByRun[name]
 	if entry == nil || entry.Draining {
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -12,7 +12,7 @@
 )
 
 // relay passes a stream on to the caller, only in whole events, because a server may break off
-// in the middle of one. Closing it ends the request.
+// in the middle of an event. Closing it ends the request.
 type relay struct {
 	*generation
 	stream *Stream
@@ -32,8 +32,9 @@
 	// promptPending is set if the engine had a prompt to read at the last event.
 	promptPending bool
 	closed        bool
-	// move is the stream's move to another engine while it is in progress. moves counts the
-	// moves, and nextMoveCheck is when to check next whether the stream should move.
+	// move is the transfer of the running stream to another engine while it is in progress.
+	// moves counts these transfers, and nextMoveCheck is when to check next whether the stream
+	// should move.
 	move          *move
 	moves         int
 	nextMoveCheck time.Time
@@ -92,8 +93,9 @@
 	}
 }
 
-// resumeAfterBreak continues a broken stream at another engine, if that is allowed. The
-// received part of an incomplete event is dropped, because the event is sent again.
+// resumeAfterBreak continues a broken stream at another engine, if mayRerun allows it or the
+// stream was being moved. The received part of an incomplete event is dropped, because the
+// event is sent again.
 func (r *relay) resumeAfterBreak(broken error) {
 	r.ended = broken
 	if r.resumeMoved() {
@@ -217,7 +219,9 @@
 	}
 }
 
-// logNotReleased logs that a resource of a request was not released and has to expire.
+// logNotReleased logs that KV memory that a request holds at a backend server was not released
+// and has to expire.
 func logNotReleased(request, what, server string, err error) {
-	klog.InfoS("Failed to release a resource, which now has to expire", "request", request, "what", what, "server", server, "err", err.Error())
+	klog.InfoS("Failed to release KV memory at a backend server, where it now has to expire",
+		"request", request, "what", what, "server", server, "err", err.Error())
 }
--- a/forward/rerun.go
+++ b/forward/rerun.go
@@ -55,8 +55,9 @@
 }
 
 // stallPauses is the silence after which a stream counts as stalled, as a multiple of the
-// longest tolerated pause between events. A preempted request pauses for one or two of them
-// while its prompt is read again, and a caller waits for eight (source: the users' protocol).
+// longest tolerated pause between events. A preempted request pauses for one or two such pauses
+// while its prompt is read again, and a caller waits for eight (source: the platform's
+// protocol).
 const stallPauses = 3
 
 // stallAfter returns the silence after which a run counts as stalled.
--- a/forward/suspect.go
+++ b/forward/suspect.go
@@ -90,8 +90,8 @@
 
 // crashCheckDelays are the pauses before each check whether a server has crashed. A process
 // that crashes loses its connections a little before its address refuses new ones, and is back
-// after 0.6 s at the earliest (source: the stand-in of the platform; the users say some
-// seconds).
+// after 0.6 s at the earliest (source: the stand-in of the platform; the service requirements
+// say some seconds).
 var crashCheckDelays = []time.Duration{0, 50 * time.Millisecond, 200 * time.Millisecond}
 
 // detectCrash records a crash if a server's process has exited and not only closed a
--- a/forward/team.go
+++ b/forward/team.go
@@ -18,7 +18,7 @@
 }
 
 // authenticate finds the team that a request belongs to, and ends a request without a key of
-// the table. The log shows the key as the short digest that operators see.
+// the table. The log shows the key as the short key digest that operators see.
 func (f *flow) authenticate(view *table.View) *Reply {
 	if !view.Keyed || f.route.Public {
 		return nil
