--- a/instance/cells.go
+++ b/instance/cells.go
@@ -13,7 +13,8 @@
 )
 
 // cellLayout describes how the region is divided and which cell this instance
-// belongs to. It is immutable. The list loop replaces it.
+// belongs to. It is immutable. The loop that reads the instance list replaces
+// it.
 type cellLayout struct {
 	// cell is this instance's cell, and zoneCells is the number of cells of its
 	// zone. cell is empty until it is determined. zoneCells is 0 while the
@@ -28,25 +29,25 @@
 type cells struct {
 	layout  atomic.Pointer[cellLayout]
 	members atomic.Pointer[cellMembers]
-	// otherZones holds the latest list of each other zone. Only the list loop
-	// uses it.
+	// otherZones holds the latest instance list of each other zone. Only the
+	// loop that reads the lists uses it.
 	otherZones map[string][]instancelist.Entry
-	// listReads counts the reads of the lists of other zones, so that they are
-	// read in turn.
+	// listReads counts the reads of the instance lists of other zones, so that
+	// they are read in turn.
 	listReads int
 }
 
 // Cell returns the name of this instance's cell.
 func (i *Instance) Cell() string { return i.cells.layout.Load().cell }
 
-// selfListedTimeout is how long an instance waits to see itself on the list
-// before it determines its cell from the entries that it sees.
+// selfListedTimeout is how long an instance waits to see itself on the instance
+// list before it determines its cell from the entries that it sees.
 const selfListedTimeout = 10 * time.Second
 
-// updateLayout determines the cell from the list of this zone and the size of
-// the region. A list that does not show this instance yet may also lack other
-// instances that started at the same time. If all of them relied on such a
-// list, each would treat the region as a small one and inspect every backend
+// updateLayout determines the cell from the instance list of this zone and the
+// size of the region. A list that does not show this instance yet may also lack
+// other instances that started at the same time. If all of them relied on such
+// a list, each would treat the region as a small one and inspect every backend
 // server.
 func (i *Instance) updateLayout(own []instancelist.Entry, region int) {
 	listed := slices.ContainsFunc(own, func(e instancelist.Entry) bool { return e.Name == i.self.Name })
@@ -68,8 +69,9 @@
 }
 
 // serversOf returns a function that reports whether a backend server belongs to
-// the cell of a layout. Plain servers belong to all cells, because they have no
-// steward.
+// the cell of a layout. Servers of plain services (without models) belong to
+// all cells, because they have no steward (the instance that grants
+// reservations at an engine).
 func (i *Instance) serversOf(layout *cellLayout) func(*table.BackendView) bool {
 	return func(backend *table.BackendView) bool {
 		if layout.cell == "" {
@@ -120,8 +122,9 @@
 	allReadCellSize = 8
 	// logReaders is how many instances of a larger cell read the log.
 	logReaders = 2
-	// logSilenceTimeout is how long an instance goes without news of the log
-	// before it reads the log itself, even if it is not one of the readers.
+	// logSilenceTimeout is how long an instance waits for contact with the log,
+	// its own or through a sibling, before it reads the log itself, even if it
+	// is not one of the readers.
 	logSilenceTimeout = 3 * time.Second
 )
 
@@ -140,7 +143,7 @@
 }
 
 // contactOtherZones stays in contact with a few instances of the other zones.
-// Each call reads the list of one zone.
+// Each call reads the instance list of one zone.
 func (i *Instance) contactOtherZones(ctx context.Context, zones []string) {
 	if len(zones) == 0 {
 		return
--- a/instance/config.go
+++ b/instance/config.go
@@ -38,8 +38,9 @@
 	// A shorter time spreads load and drains faster. A longer time causes fewer
 	// queries.
 	EntryTTL time.Duration
-	// OperationIDTTL is how long a new operation id is valid. It bounds the
-	// number of records that the home and the witness keep.
+	// OperationIDTTL is how long a new operation id is valid. It bounds the number
+	// of records that the home (the instance that the caller is connected to) and
+	// the witness (the instance in another zone that acknowledges an intent) keep.
 	OperationIDTTL time.Duration
 	// StaleAfter is how long the instance accepts new callers without contact
 	// with the log or a sibling. It bounds how long an outdated table is used.
@@ -49,13 +50,13 @@
 	// time its address is given out before the instance knows every witness,
 	// and calls are refused. With a longer time the instance stays idle.
 	MinUptimeForEntry time.Duration
-	// LoadEvery is the period in which a steward queries its engines for their
-	// load.
+	// LoadEvery is the period in which a steward (the instance that grants
+	// reservations at an engine) queries its engines for their load.
 	LoadEvery time.Duration
 	// ListEvery is the period in which the instance list is read.
 	ListEvery time.Duration
-	// MaxOperations is the maximum number of operation records, for the home
-	// and for the witness each.
+	// MaxOperations is the maximum number of operation records that the instance
+	// keeps as home, and also the maximum that it keeps as witness.
 	MaxOperations int
 	// MaxTraces is the maximum number of requests kept for operators.
 	MaxTraces int
--- a/instance/entry.go
+++ b/instance/entry.go
@@ -22,7 +22,8 @@
 	// KeepSeconds is how long the answer may be kept.
 	KeepSeconds int `json:"keep_seconds"`
 	// Operation holds what the caller needs to make operation ids. It is nil if
-	// no witness is available.
+	// no witness (an instance in another zone that acknowledges an intent) is
+	// available.
 	Operation *EntryOperation `json:"operation,omitempty"`
 }
 
@@ -31,7 +32,8 @@
 	// Prefix is the start of each id. The caller appends a nonce of up to 64
 	// letters, digits, "-" and "_".
 	Prefix string `json:"prefix"`
-	// Witness is the address to query for an outcome when the instance is lost.
+	// Witness is the address of the witness, which the caller queries for an
+	// outcome when the named instance is lost.
 	Witness string `json:"witness"`
 	// ExpiresSeconds is how long ids with the prefix are valid.
 	ExpiresSeconds int `json:"expires_seconds"`
@@ -71,7 +73,8 @@
 // candidates returns the instances whose address may be given to callers: those
 // that are alive and have a table, including this one when it is ready. An
 // instance that has just started does not know all siblings yet, and therefore
-// not every witness. It is returned only while there is no other.
+// not every witness. It is returned only while no instance has run for
+// MinUptimeForEntry.
 func (i *Instance) candidates() []member.Info {
 	var infos []member.Info
 	if i.Ready() == nil {
@@ -127,8 +130,9 @@
 }
 
 // OperationStatus returns the status of an operation for a caller. At the
-// operation's home or witness it answers from the local records. Elsewhere it
-// queries the home and, if the home does not answer, the witness.
+// operation's home (the instance that the caller is connected to) or witness it
+// answers from the local records. Elsewhere it queries the home and, if the home
+// does not answer, the witness.
 func (i *Instance) OperationStatus(ctx context.Context, id operation.ID) operation.Status {
 	if id.Home == i.self {
 		return i.operations.Query(id, i.Uptime())
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -134,7 +134,8 @@
 func (i *Instance) Members() *member.View { return i.members.View() }
 
 // NewRequestID returns an id that contains the identity of this run of the
-// instance, so that any sibling can find the request's home.
+// instance, so that any sibling can find the request's home (the instance that
+// the caller is connected to).
 func (i *Instance) NewRequestID() string {
 	return i.self.String() + "." + strconv.FormatUint(i.sequence.Add(1), 36)
 }
--- a/instance/keeper.go
+++ b/instance/keeper.go
@@ -28,8 +28,8 @@
 	logRetryDelay = 500 * time.Millisecond
 )
 
-// tableState holds the fold of the log, the tables that result from it, and the
-// most recent records.
+// tableState holds the fold of the platform's log, the tables that result from
+// it, and the most recent log records.
 type tableState struct {
 	fleet *route.Fleet
 	// inCell reports whether a backend server belongs to this cell. If it is
@@ -96,7 +96,7 @@
 	defer s.mu.Unlock()
 	record, err := s.fold.Due()
 	if err != nil {
-		klog.ErrorS(err, "Failed to create the snapshot record")
+		klog.ErrorS(err, "Failed to create the log record of the table snapshot")
 	}
 	return record
 }
@@ -237,10 +237,10 @@
 	for from := first; ctx.Err() == nil; {
 		batch, err := i.deps.Log.Read(ctx, from, readBatch)
 		if err != nil {
-			return errors.WithMessage(err, "search the log for a snapshot")
+			return errors.WithMessage(err, "search the log for a table snapshot")
 		}
 		if len(batch.Records) == 0 {
-			return errors.New("search the log for a snapshot: none found")
+			return errors.New("search the log for a table snapshot: none found")
 		}
 		for _, record := range batch.Records {
 			if i.restoreRecord(record.Data, batch.First) {
@@ -284,7 +284,7 @@
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
 	if _, err := i.deps.Log.Append(ctx, record); err != nil {
-		klog.V(1).InfoS("Failed to append the snapshot to the log", "err", err)
+		klog.V(1).InfoS("Failed to append the table snapshot to the log", "err", err)
 	}
 }
 
@@ -296,7 +296,7 @@
 		return err
 	}
 	if answer.Records == nil {
-		return errors.New("answer of the sibling contains no records")
+		return errors.New("answer of the sibling contains no log records")
 	}
 	if answer.Records.Snapshot != nil {
 		return i.tables.restore(func(fold *table.Fold) error { return fold.Restore(answer.Records.Snapshot) })
--- a/instance/loads.go
+++ b/instance/loads.go
@@ -55,8 +55,8 @@
 	i.caches.unsent[backend.Name] = changes
 }
 
-// ownLoads returns the load digests of the backend servers whose steward is
-// this instance.
+// ownLoads returns the load reports of the engines whose steward (the instance
+// that grants reservations at an engine) is this instance.
 func (i *Instance) ownLoads() []peer.ServerLoad {
 	i.caches.mu.Lock()
 	defer i.caches.mu.Unlock()
@@ -83,8 +83,8 @@
 	return loads
 }
 
-// observeLoads applies the load digests that a sibling sent of its backend
-// servers.
+// observeLoads applies the load reports that a sibling sent for the engines
+// whose steward it is.
 func (i *Instance) observeLoads(loads []peer.ServerLoad, now time.Time) {
 	for _, load := range loads {
 		server := i.fleet.ServerByID(load.ID)
--- a/instance/orders.go
+++ b/instance/orders.go
@@ -23,9 +23,9 @@
 	ordersKeyPrefix = "orders "
 	// ordersEvery is how often the lease and the engines are checked.
 	ordersEvery = 500 * time.Millisecond
-	// loadBytesPerSecond is the rate requested for one load, in bytes per
-	// second. It is a fifth of the store's rate, so that several pools can load
-	// at once.
+	// loadBytesPerSecond is the rate requested for loading weights into one engine,
+	// in bytes per second. It is a fifth of the weight store's rate, so that several
+	// pools can load at once.
 	loadBytesPerSecond = 2_000_000_000
 )
 
@@ -80,20 +80,20 @@
 	}
 	record, err := table.LeaseRecord(claim)
 	if err != nil {
-		klog.ErrorS(err, "Failed to create the lease record")
+		klog.ErrorS(err, "Failed to create the log record of the lease on orders to engines")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
 	if _, err := i.deps.Log.Append(ctx, record); err != nil {
-		klog.V(1).InfoS("Failed to append the lease record to the log", "err", err)
+		klog.V(1).InfoS("Failed to append the lease on orders to engines to the log", "err", err)
 	}
 }
 
-// reconcile orders at most one engine of each pool at a time to load the
-// weights that the table names, so that the others go on serving. It reads the
-// state of the engines each time. This corrects the effect of an order that
-// another instance sent too late.
+// reconcile orders at most one engine of each pool at a time to load the weights
+// that the table names, so that the other engines go on serving. It reads the state
+// of the engines each time. This corrects the effect of an order that another
+// instance sent after its lease had ended.
 func (i *Instance) reconcile(ctx context.Context, token uint64) {
 	backends := slices.SortedFunc(maps.Values(i.tables.View().Backends), func(a, b *table.BackendView) int {
 		return cmp.Compare(a.Name, b.Name)
--- a/instance/orphans.go
+++ b/instance/orphans.go
@@ -13,8 +13,9 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// orphanGrace is how long an engine holds a request before the request's home
-// is queried whether it still works on it.
+// orphanGrace is how long an engine holds a request before this instance asks
+// the request's home (the instance that the caller is connected to) whether the
+// home still works on the request.
 const orphanGrace = 2 * time.Second
 
 // cancelOrphans cancels requests that no instance works on any more. These are
@@ -83,7 +84,9 @@
 	return answer.Claims.Abandoned
 }
 
-// abandonedClaims returns the attempts of a query that have ended.
+// abandonedClaims returns the attempts (an attempt is one try of a request) in
+// the query that this instance no longer works on. A claim is a home's
+// statement that it still works on an attempt.
 func (i *Instance) abandonedClaims(query *peer.ClaimsRequest) *peer.Claims {
 	claims := &peer.Claims{Home: i.self}
 	if query.Home != i.self {
--- a/instance/siblings.go
+++ b/instance/siblings.go
@@ -62,9 +62,9 @@
 	i.members.ApplyInstanceList(listed, clock.Now())
 }
 
-// assumeSingleCell treats the region as one cell if the list has not answered
-// for a long time after the start. Instances that know of several cells would
-// have sent a heartbeat by then.
+// assumeSingleCell treats the region as one cell if the instance list has not
+// been readable for a long time after the start. Instances that know of several
+// cells would have sent a heartbeat by then.
 func (i *Instance) assumeSingleCell() {
 	if i.Cell() == "" && i.Uptime() > selfListedTimeout {
 		i.updateLayout(nil, 0)
--- a/instance/stewards.go
+++ b/instance/stewards.go
@@ -11,8 +11,8 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// stewards implements request.Stewards. It calls the steward of a server, which
-// may be this instance.
+// stewards implements request.Stewards. It calls the steward of a server (the
+// instance that grants reservations at an engine), which may be this instance.
 type stewards struct{ *Instance }
 
 // Reserve implements request.Stewards.
@@ -64,7 +64,8 @@
 }
 
 // inspectServers queries the load of the servers whose steward is this
-// instance, and cancels requests that dead homes left there.
+// instance, and cancels requests there that no home (the instance that a caller
+// is connected to) works on any more.
 func (i *Instance) inspectServers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
@@ -108,5 +109,6 @@
 	i.cancelOrphans(ctx, backend, load.Held)
 }
 
-// Steward returns the name of the instance that grants a server's memory.
+// Steward returns the name of the instance that grants reservations at a
+// server.
 func (i *Instance) Steward(server string) string { return i.ownerOf(server) }
