--- a/lease/lease.go
+++ b/lease/lease.go
@@ -26,9 +26,10 @@
 	// Token is the offset of the claim.
 	Token  uint64 `json:"token"`
 	Serial uint64 `json:"serial"`
-	// Era is the era of the store in which the state was read; 0 if the store has
-	// only one. A store that was restored from an older copy may have lost the claim
-	// that counts, and the holder of that claim still relies on it for a while.
+	// Era is the era of the store in which the state was read (the era increases by one
+	// each time the store is restored from an older copy); 0 if the store has no eras. A
+	// store that was restored from an older copy may have lost the claim that counts,
+	// and the holder of that claim still relies on it for a while.
 	Era uint64 `json:"era,omitempty"`
 }
 
@@ -54,8 +55,8 @@
 	// after it a challenger begins. It allows for clocks that run at different
 	// speeds, and for an order that is in flight.
 	Margin time.Duration
-	// ChallengeDelay is how much longer all candidates but the first in line wait before
-	// they challenge.
+	// ChallengeDelay is how much longer all candidates but the one that is to challenge
+	// first wait before they challenge.
 	ChallengeDelay time.Duration
 }
 
@@ -126,7 +127,7 @@
 func (c *Candidate) Until() time.Time { return c.validUntil }
 
 // Next returns the claim to send at now, if one is due. first is set if this instance
-// is the first in line to challenge.
+// may challenge without ChallengeDelay.
 func (c *Candidate) Next(now time.Time, first bool) (Claim, bool) {
 	if !c.lastSent.IsZero() && now.Sub(c.lastSent) < c.config.RenewEvery {
 		return Claim{}, false
--- a/member/listing.go
+++ b/member/listing.go
@@ -18,9 +18,9 @@
 	return listing{shown: make(map[string]bool), leaving: make(map[string]bool)}
 }
 
-// isGone reports whether the list no longer shows the instance. A member that has sent
-// heartbeats must have been on the list before, since new instances appear there late.
-// A member that is only known from others need not have been.
+// isGone reports whether the instance list no longer shows the instance. A member that has sent
+// heartbeats must have been on the list before, since new instances appear there late. A member
+// that is only known from reports of other instances need not have been.
 func (l listing) isGone(name string, introduced bool) bool {
 	shows, ever := l.shown[name]
 	return l.received && !shows && (ever || introduced)
@@ -43,7 +43,7 @@
 	m.Tick(now)
 }
 
-// forgetListed drops names that are neither on the list nor known members.
+// forgetListed drops names that are neither on the instance list nor known members.
 func (m *Members) forgetListed() {
 	for name, shows := range m.listed.shown {
 		if _, known := m.siblings[name]; !shows && !known {
--- a/member/member.go
+++ b/member/member.go
@@ -37,12 +37,12 @@
 	// SuspectAfter is the silence after which a member gets no new work. It should be
 	// longer than a few lost heartbeats and an ordinary pause.
 	SuspectAfter time.Duration
-	// DeadAfter is the silence, towards every sibling that was queried, after which a
-	// member that is no longer on the platform's list counts as dead and its streams
-	// are cancelled. If it is too short, the work of an instance that was only paused
-	// is cancelled. If it is too long, decode memory is held for callers that are gone.
+	// DeadAfter is the silence, towards every sibling that was queried, after which a member
+	// that is no longer on the platform's instance list counts as dead and its streams are
+	// cancelled. If it is too short, the work of an instance that was only paused is cancelled.
+	// If it is too long, decode memory is held for callers that are gone.
 	DeadAfter time.Duration
-	// AbandonAfter is the silence after which a member counts as dead even if the list
+	// AbandonAfter is the silence after which a member counts as dead even if the instance list
 	// shows it, since the list may be unavailable or wrong. It must be longer than the
 	// partitions that streams are meant to survive.
 	AbandonAfter time.Duration
@@ -92,15 +92,15 @@
 	// that it needs next.
 	Revision uint64 `cbor:"8,keyasint" json:"revision"`
 	Next     uint64 `cbor:"10,keyasint" json:"next_offset"`
-	// InFlight is the number of requests whose home is the instance.
+	// InFlight is the number of requests whose home (the instance that the caller is connected
+	// to) is the instance.
 	InFlight int `cbor:"9,keyasint" json:"in_flight"`
 	// Cell is the cell that the instance belongs to.
 	Cell string `cbor:"11,keyasint,omitempty" json:"cell"`
 	// Capacity is the processor time that the instance may use, in thousandths of a
 	// core. It is 0 if the instance does not report it.
 	Capacity int `cbor:"12,keyasint,omitempty" json:"capacity,omitempty"`
-	// UsesSubset is set if the instance knows only a subset of the backend servers on the
-	// list.
+	// UsesSubset is set if the instance knows only a subset of the list of backend servers.
 	UsesSubset bool `cbor:"13,keyasint,omitempty" json:"part,omitempty"`
 }
 
@@ -126,8 +126,8 @@
 	// Reported is the state last reported by an instance that receives its heartbeats
 	// directly. It is empty if there was no report.
 	Reported State `json:"reported,omitempty"`
-	// Observed is when the state was observed first-hand, by this instance or by the
-	// one whose report reached it through others.
+	// Observed is when the state was observed first-hand, by this instance or by another
+	// instance whose report was passed on.
 	Observed time.Time `json:"observed,omitzero"`
 	// reportObserved is the time of the first-hand observation behind Reported.
 	reportObserved time.Time
--- a/member/suspicion.go
+++ b/member/suspicion.go
@@ -10,8 +10,9 @@
 // instance may be cut. As in SWIM (Das, Gupta and Motivala, 2002), a suspect gets a
 // second chance through others: siblings are queried for their last contact with it.
 // Unlike in SWIM, no report alone makes a member dead. It must be silent towards every
-// sibling that was queried, and the platform's list must no longer show it, so that a
-// partitioned instance which still streams to its callers is not treated as dead.
+// sibling that was queried, and the platform's instance list must no longer show it, so
+// that a partitioned instance which still streams to its callers is not treated as
+// dead.
 
 // isDead reports whether a silent member counts as dead.
 func (m *Members) isDead(s Sibling, now time.Time) bool {
@@ -22,12 +23,13 @@
 	return silence > m.config.DeadAfter && m.listed.isGone(s.Name, s.introduced())
 }
 
-// introduced reports whether the member is only known from others.
+// introduced reports whether this instance has had no contact with the member.
 func (s Sibling) introduced() bool { return s.LastContact.IsZero() }
 
 // Introduce adds a member that this instance has had no contact with, for example if an
-// engine holds a request whose home died before this instance started. The member
-// starts as a suspect that siblings are queried about, and dies like any other.
+// engine holds a request whose home (the instance that the caller was connected to)
+// died before this instance started. The member starts as a suspect that siblings are
+// queried about, and dies like any other.
 func (m *Members) Introduce(member operation.Member, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/poison/config.go
+++ b/poison/config.go
@@ -4,15 +4,15 @@
 
 // Config sets when a request is blocked, and for how long.
 type Config struct {
-	// SuspectCrashes is how many servers must have crashed during a request for it to
-	// become a suspect. From then on each execution is a probe: one at a time, on the
-	// server where the fewest other requests are lost with it. With one, every request
-	// that shared a server with the cause would be probed. With three, the probes would
-	// come too late.
+	// SuspectCrashes is how many servers must have crashed during a request for it to become a
+	// suspect. From then on each execution is a probe: one at a time, on the server where the
+	// fewest other requests are lost with it. With a value of one, every request that shared a
+	// server with the cause would be probed. With a value of three, the probes would come too
+	// late.
 	SuspectCrashes int
-	// BlockCrashes is how many servers must have crashed during a request, without
-	// another request that explains the crashes, for it to be blocked. The users'
-	// requirement is three.
+	// BlockCrashes is how many servers must have crashed during a request, without another
+	// request that explains the crashes, for it to be blocked. The service requirements allow
+	// three.
 	BlockCrashes int
 	// RepeatedCrashes is how many servers must have crashed during a request, whatever
 	// explains the crashes, for SuspectCrashes unexplained ones to be enough to block
@@ -21,17 +21,17 @@
 	// crashed in 40 s without this rule and 70 with it, and none of 2,400 other
 	// requests was refused.
 	RepeatedCrashes int
-	// TiedCrashes is how many servers must have crashed during several requests that
-	// always ran together for all of them to be blocked. Until then one of them is
-	// probed at intervals, which tells them apart.
+	// TiedCrashes is how many servers must have crashed during several requests that always ran
+	// together for all of them to be blocked. Until then one of these requests is probed at
+	// intervals, which tells them apart.
 	TiedCrashes int
 	// TiedProbeAfter is the minimum time between two such probes.
 	TiedProbeAfter time.Duration
-	// ProbeAfter is how long after its last crash a blocked request is probed again, in
-	// case the servers have been fixed. Each failed probe multiplies the delay by
-	// ProbeFactor, up to MaxProbeDelay. A shorter delay serves wrongly blocked requests
-	// sooner, but each probe of a request that is to blame costs a server, and the
-	// users allow three in all.
+	// ProbeAfter is how long after its last crash a blocked request is probed again, in case
+	// the servers have been fixed. Each failed probe multiplies the delay by ProbeFactor, up to
+	// MaxProbeDelay. A shorter delay serves wrongly blocked requests sooner, but each probe of
+	// a request that is to blame costs a server, and the service requirements allow three in
+	// all.
 	ProbeAfter    time.Duration
 	ProbeFactor   int
 	MaxProbeDelay time.Duration
@@ -51,8 +51,8 @@
 	// are dropped.
 	MaxCrashes          int
 	MaxRequestsPerCrash int
-	// FreshFor is how long a crash is part of each update after something new was
-	// learned about it. It spans several updates, since datagrams are sometimes lost.
+	// FreshFor is how long a crash is part of each update after its record last changed. It
+	// spans several updates, since datagrams are sometimes lost.
 	FreshFor time.Duration
 	// RepairEvery is the interval between updates that repeat crashes which are no
 	// longer fresh, RepairCrashes at a time, for instances that missed them.
@@ -67,7 +67,7 @@
 	UpdateMarks    int
 }
 
-// DefaultConfig returns the settings that meet the users' requirements.
+// DefaultConfig returns the settings that meet the service requirements.
 func DefaultConfig() Config {
 	return Config{
 		SuspectCrashes:      2,
--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Fingerprint identifies a request across retries, since each attempt of a caller has
-// its own request id. It is a truncated SHA-256, so that no caller can construct a
-// request with the fingerprint of another caller's request.
+// Fingerprint identifies a request across retries, since each try by a caller has its
+// own request id. It is a truncated SHA-256, so that no caller can construct a request
+// with the fingerprint of another caller's request.
 type Fingerprint uint64
 
 // allCallers is the bit that marks a fingerprint of a request's content, which is the
@@ -48,7 +48,7 @@
 	return map[Fingerprint]time.Time{f.OfCaller: at, f.Content: at}
 }
 
-// Identity holds what all attempts of the same request have in common.
+// Identity holds what all of a caller's tries of the same request have in common.
 type Identity struct {
 	// Caller is the address that the request came from, without the port.
 	Caller string
--- a/poison/tracker.go
+++ b/poison/tracker.go
@@ -34,9 +34,9 @@
 	Probes int
 }
 
-// Tracker records which requests were running on servers when the servers crashed, as
-// seen by this instance and by others. Requests read it without a lock while no crash
-// is recorded.
+// Tracker records which requests were running on servers when the servers crashed, as seen by
+// this instance and by other instances. Requests read it without a lock while no crash is
+// recorded.
 type Tracker struct {
 	config Config
 	random func() float64
@@ -63,8 +63,8 @@
 	needsEvaluation bool
 	cleared         map[Fingerprint]mark
 	probes          map[Fingerprint]mark
-	// onTransition, if set, is called for each transition. onUpdate, if set, is called
-	// when there is something new to send to other instances.
+	// onTransition, if set, is called for each transition. onUpdate, if set, is called when
+	// there are new crashes or marks to send to other instances.
 	onTransition func(Transition)
 	onUpdate     func()
 	// lastRepair is when an update last repeated records that are no longer fresh.
@@ -124,9 +124,9 @@
 	return t
 }
 
-// OnChange sets the functions that are called for each transition, and whenever there
-// is something new that other instances should receive soon. It must be called before
-// any other method.
+// OnChange sets the functions that are called for each transition, and whenever there are new
+// crashes or marks that other instances should receive soon. It must be called before any other
+// method.
 func (t *Tracker) OnChange(onTransition func(Transition), onUpdate func()) {
 	t.onTransition, t.onUpdate = onTransition, onUpdate
 }
@@ -218,9 +218,9 @@
 	return one
 }
 
-// MayRetry reports whether a request whose connection broke may be sent again within
-// the same attempt. Executions on servers that are not yet known to have crashed count
-// as well.
+// MayRetry reports whether a request whose connection broke may be sent again within the same
+// attempt (one try of a request). Executions on servers that are not yet known to have crashed
+// count as well.
 func (t *Tracker) MayRetry(request Fingerprints) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/poison/update.go
+++ b/poison/update.go
@@ -222,8 +222,8 @@
 	return isNew
 }
 
-// startTimes returns the start times of the requests that were running on a server
-// when it crashed, for at most as many requests as most.
+// startTimes returns the start times of the requests that were running on a server when
+// it crashed, limited to the first most requests.
 func (e Crash) startTimes(crashed time.Time, most int) map[Fingerprint]time.Time {
 	began := make(map[Fingerprint]time.Time, min(len(e.Requests), most))
 	for _, one := range e.Requests[:min(len(e.Requests), most)] {
--- a/registry/older.go
+++ b/registry/older.go
@@ -12,7 +12,7 @@
 // an older entry contradicts it.
 
 // departure records that a run of a server is gone, and the era of the store in which this
-// was read.
+// was read (the era increases by one each time the store is restored from an older copy).
 type departure struct {
 	id        string
 	born      int64
@@ -27,9 +27,9 @@
 	r.departed[server.Run()] = departure{id: server.ID, born: server.Born, removedAt: now, era: r.view.Load().Position.Era(), draining: server.Draining}
 }
 
-// withoutStaleState returns the list without runs that were found to be gone in an earlier
-// era or that a later run has replaced. Runs that were draining stay draining. The caller
-// holds the lock.
+// withoutStaleState returns the list of backend servers without runs that were found to be
+// gone in an earlier era or that a later run has replaced. Runs that were draining stay
+// draining. The caller holds the lock.
 func (r *Registry) withoutStaleState(snapshot Snapshot) Snapshot {
 	era := snapshot.Position.Era()
 	entries := make([]Entry, 0, len(snapshot.Entries))
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -85,10 +85,10 @@
 
 // Config holds the rules for removed entries.
 type Config struct {
-	// ExpiryGrace is the time after the return of the platform's store for which a server
-	// with an expired entry stays in use. Entries expire during an outage of the store
-	// although their servers run. The requirements say that the servers write them again
-	// within about two seconds of the store's return. After a mass removal, as defined by
+	// ExpiryGrace is the time after the return of the platform's store for which a server with
+	// an expired entry stays in use. Entries expire during an outage of the store although
+	// their servers run. The service requirements say that the servers write them again within
+	// about two seconds of the store's return. After a mass removal, as defined by
 	// MassRemovalFraction, the time counts from the removal.
 	ExpiryGrace time.Duration
 	// MassRemovalFraction is the fraction of all servers whose removal in one read is treated as
@@ -96,13 +96,13 @@
 	// not counted as removed. Planned work removes fewer servers at a time without
 	// draining them first.
 	MassRemovalFraction float64
-	// DepartedFor is the time for which the registry remembers that a run of a server is
-	// gone. It must exceed the age of a copy from which the store may be restored, which is
-	// some seconds according to the requirements.
+	// DepartedFor is the time for which the registry remembers that a run of a server is gone.
+	// It must exceed the age of a copy from which the store may be restored, which is some
+	// seconds according to the service requirements.
 	DepartedFor time.Duration
 }
 
-// DefaultConfig returns the configuration that follows the requirements.
+// DefaultConfig returns the configuration that follows the service requirements.
 func DefaultConfig() Config {
 	return Config{ExpiryGrace: 2 * time.Second, MassRemovalFraction: 0.3, DepartedFor: 5 * time.Minute}
 }
@@ -126,7 +126,7 @@
 	Position oplog.Position
 	// Read is the time at which changes were last applied.
 	Read time.Time
-	// IsSubset is set if the view holds only a subset of the list.
+	// IsSubset is set if the view holds only a subset of the list of backend servers.
 	IsSubset bool
 }
 
@@ -147,8 +147,8 @@
 	return &v.Servers[i]
 }
 
-// Snapshot returns the list that siblings need to build the same view. Expired
-// servers are left out, because each instance applies its own grace period.
+// Snapshot returns the list of backend servers that siblings need to build the same view.
+// Expired servers are left out, because each instance applies its own grace period.
 func (v *View) Snapshot() Snapshot {
 	snapshot := Snapshot{Position: v.Position}
 	for _, server := range v.Servers {
@@ -219,8 +219,8 @@
 // keeps reports whether r.keep selects an entry. The caller holds the lock.
 func (r *Registry) keeps(entry *Entry) bool { return r.keep == nil || r.keep(entry) }
 
-// Reset replaces the servers with those of a full list, limited to the entries that the
-// registry keeps. A list that is older than the current view is ignored.
+// Reset replaces the servers with those of a full list of backend servers, limited to the
+// entries that the registry keeps. A list that is older than the current view is ignored.
 func (r *Registry) Reset(snapshot Snapshot, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -242,7 +242,7 @@
 	return true
 }
 
-// reset applies a full list. The caller holds the lock.
+// reset applies a full list of backend servers. The caller holds the lock.
 func (r *Registry) reset(snapshot Snapshot, now time.Time) {
 	before := r.view.Load().Position
 	if snapshot.Position < before {
--- a/subset/census.go
+++ b/subset/census.go
@@ -28,7 +28,7 @@
 }
 
 // Instances is the number of serving instances in all zones, and in the zone of the
-// instance in question.
+// instance whose subset is selected.
 type Instances struct{ All, Near int }
 
 // Config sets how many servers an instance uses.
@@ -87,9 +87,9 @@
 	return n
 }
 
-// Fits reports whether the subset have may stay where now would be selected at present.
-// Near the boundary between two sizes both are good, and each change has an instance
-// read its subset again.
+// Fits reports whether an instance may keep the subset have although Select would
+// return the subset now instead. Near the boundary between two sizes either size is
+// good, and each change has an instance read its subset again.
 func (c Config) Fits(have, now *Subset, census *Census) bool {
 	if (have == nil) != (now == nil) {
 		return census.total > c.MaxForAll/2 && census.total <= 2*c.MaxForAll
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,9 +1,9 @@
 // Package subset decides which backend servers an instance uses if there are too many
 // for each instance to know all of them. A subset holds an even share of the servers in
-// the instance's own availability zone, and a few of the others in case those nearby
-// are lost. It follows from names alone: it stays the same as servers and instances
-// come and go, and anyone who knows its shares can compute it. The package does no I/O
-// and reads no clock.
+// the instance's own availability zone, and a few of the servers in other zones in case
+// those nearby are lost. It follows from names alone: it stays the same as servers and
+// instances come and go, and anyone who knows its shares can compute it. The package
+// does no I/O and reads no clock.
 package subset
 
 import (
@@ -13,7 +13,7 @@
 )
 
 // Share is the fraction of a service's servers that an instance uses: one in 2^Near of
-// those in its own zone, and one in 2^Far of the others.
+// those in its own zone, and one in 2^Far of those in other zones.
 type Share struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
