--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -1,7 +1,7 @@
-// Package heartbeat exchanges short messages between sibling instances as UDP
-// datagrams. They report which instances are alive, the load that each has
-// committed at the backend servers, and the addresses of other instances. The
-// next datagram makes up for a lost one.
+// Package heartbeat exchanges short messages between sibling instances as UDP datagrams. They
+// report which instances are alive, the commitments of each (the requests and memory that it
+// has assigned to backend servers), and the addresses of other instances. The next datagram
+// makes up for a lost one.
 package heartbeat
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/mastwheel/mastwheel/subset"
 )
 
-// Load is the load that one instance has committed at one backend server.
+// Load is the commitment of one instance at one backend server.
 type Load struct {
 	// Server is the route.ServerID of the server.
 	Server uint32 `cbor:"1,keyasint"`
@@ -54,7 +54,8 @@
 	TableContactAge   *time.Duration `cbor:"6,keyasint,omitempty"`
 	ServersContactAge *time.Duration `cbor:"7,keyasint,omitempty"`
 	// Hubs is set by senders that use hubs. RequestHub requests that the receiver act as the
-	// sender's hub, which means that it sends a digest with each heartbeat for a while.
+	// sender's hub, which means that it sends a hub digest with each heartbeat for a while. A
+	// hub is an instance that passes on information about other instances.
 	Hubs       bool `cbor:"8,keyasint,omitempty"`
 	RequestHub bool `cbor:"9,keyasint,omitempty"`
 	// Seen is the number of the last change that the sender has from the receiver's change
@@ -97,7 +98,7 @@
 	return loads, errors.Wrap(err, "decode loads")
 }
 
-// Digest is the information that a hub passes on about other instances.
+// Digest is a hub digest: the information that a hub passes on about other instances.
 type Digest struct {
 	// Summed is set if Loads holds sums of loads for some of the servers. The sums cover
 	// the instances of the hub's zone if Zone is set, and otherwise all instances, including
--- a/operation/id.go
+++ b/operation/id.go
@@ -1,10 +1,10 @@
 // Package operation tracks whether a call ran, without consensus.
 //
-// An operation id names two instances. Only the home may send the call to a
-// backend server. The witness, in another availability zone, must first have
-// acknowledged the home's intent to send it. A caller that can no longer reach
-// the home queries the witness. If the witness has seen no intent, it closes the
-// id permanently, so that its answer "not run" stays true.
+// An operation id names two instances. Only the home, which the caller is connected
+// to, may send the call to a backend server. The witness, in another availability
+// zone, must first have acknowledged the home's intent to send it. A caller that
+// can no longer reach the home queries the witness. If the witness has seen no
+// intent, it closes the id permanently, so that its answer "not run" stays true.
 package operation
 
 import (
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -13,8 +13,8 @@
 	Name string
 	Zone string
 	Role string
-	// PendingRole is the role of an order that is still in progress. It is empty if
-	// there is none.
+	// PendingRole is the role that the engine is changing to, by an order that is
+	// still in progress. It is empty if there is no such order.
 	PendingRole string
 	// Unreachable is set if recent queries to the engine failed. Such an engine
 	// keeps its role for now.
@@ -24,7 +24,7 @@
 // available reports whether the engine could be ordered to change its role now.
 func (e Engine) available() bool { return !e.changing() && !e.Unreachable }
 
-// changing reports whether an order is in progress.
+// changing reports whether an order to change the engine's role is in progress.
 func (e Engine) changing() bool { return e.PendingRole != "" && e.PendingRole != e.Role }
 
 // Change is the new role of one engine and the counts that led to it.
@@ -32,7 +32,7 @@
 	Engine string
 	Role   string
 	// Prefill and Decode are the numbers of engines of each role. WantPrefill is the
-	// number of prefill engines that there should be.
+	// wanted number of prefill engines.
 	Prefill     int
 	Decode      int
 	WantPrefill int
--- a/table/keys.go
+++ b/table/keys.go
@@ -9,8 +9,9 @@
 )
 
 // KeyDigest is a truncated SHA-256 of an API key that callers send to authenticate for a
-// team. Keys are secrets, so the table, its log and siblings hold only digests. Requests
-// are matched by digest, so that the timing of a comparison leaks nothing about a key.
+// team. Keys are secrets, so the table, its log and siblings hold only key digests.
+// Requests are matched by digest, so that the timing of a comparison leaks nothing about
+// a key.
 type KeyDigest [keyDigestBytes]byte
 
 const (
@@ -47,7 +48,7 @@
 	return digest, errors.Wrap(err, "a key's digest")
 }
 
-// FormatKeys formats a team's digests as a cell value.
+// FormatKeys formats a team's key digests as a cell value.
 func FormatKeys(digests []KeyDigest) string {
 	if len(digests) == 0 {
 		return KeysNone
--- a/table/routes.go
+++ b/table/routes.go
@@ -27,7 +27,8 @@
 	// Timeout is the longest time that a caller waits for its request.
 	Timeout time.Duration
 	// TTFT is the target for the time to the first token, or to the complete
-	// response of a plain call. TBT is the target for the time between tokens.
+	// response of a call to a plain service (without models). TBT is the target for
+	// the time between tokens.
 	TTFT time.Duration
 	TBT  time.Duration
 	// Priority ranks the requests of the route. 0 is the highest.
--- a/table/view.go
+++ b/table/view.go
@@ -53,7 +53,8 @@
 	Role    string
 	Address string
 	Zone    string
-	// Pieces is the decode memory in pieces, or 0 for other roles.
+	// Pieces is the decode memory in memory pieces (the unit of KV cache memory, 2,000
+	// tokens), or 0 for other roles.
 	Pieces int
 	// MemoryTokens is the KV memory in tokens, where it is known with that precision.
 	MemoryTokens int
