--- a/request/claims.go
+++ b/request/claims.go
@@ -6,10 +6,13 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// claims holds the attempt that each request of this instance currently works
-// on. A steward may cancel any other attempt that it finds at an engine. An
-// attempt is therefore claimed before its first order is sent, and it is never
-// claimed again once its claim was removed.
+// claims holds the attempt (one try of a request) that this instance currently
+// works on for each of its requests. A claim is the statement of a home (the
+// instance that the caller is connected to) that it still works on an attempt.
+// A steward (the instance that grants reservations at an engine) may cancel any
+// other attempt that it finds at an engine. An attempt is therefore claimed
+// before its first order is sent, and it is never claimed again once its claim
+// was removed.
 type claims struct {
 	mu sync.Mutex
 	// current is the number of the current attempt, by request ID.
--- a/request/life.go
+++ b/request/life.go
@@ -1,5 +1,6 @@
-// Package request runs one request from arrival to outcome: its states, its
-// attempts at backend servers, and the delivery of its answer to the caller.
+// Package request runs one request from arrival to outcome: its states, its attempts
+// (one try of the request at backend servers each), and the delivery of its answer to
+// the caller.
 package request
 
 import (
@@ -53,7 +54,8 @@
 const (
 	// Admit: the request was admitted within the caps.
 	Admit Event = iota
-	// ReservationGranted: a steward has reserved decode memory.
+	// ReservationGranted: a steward (the instance that grants reservations at an
+	// engine) has reserved decode memory.
 	ReservationGranted
 	// Send: from now on a byte may have reached a backend server.
 	Send
--- a/request/model.go
+++ b/request/model.go
@@ -33,15 +33,17 @@
 	deadline      time.Time
 	firstTokenAt  time.Time
 	lastTokenAt   time.Time
-	// prefill is the engine that reserved a turn. decode is the engine that
-	// reserved memory for the attempt.
+	// prefill is the engine at which a turn (a place in the engine's prefill
+	// queue) is reserved. decode is the engine at which memory is reserved for
+	// the attempt (one try of the request).
 	prefill *route.ScoredCandidate
 	decode  *route.ScoredCandidate
 	// untilArrival is the expected time from the reservation of a turn until
 	// the KV cache is at the decode engine.
 	untilArrival time.Duration
-	// refusedDecision is the last decision whose steward refused the
-	// reservation, or in which every candidate was filtered out.
+	// refusedDecision is the last decision after which the steward (the
+	// instance that grants reservations at an engine) refused the reservation,
+	// or in which every candidate was filtered out.
 	refusedDecision *route.Decision
 	// triedPrefill and triedDecode name the engines that have failed this
 	// request.
--- a/request/plain.go
+++ b/request/plain.go
@@ -13,7 +13,7 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Plain is one call to a plain service.
+// Plain is one call to a plain service (without models).
 type Plain struct {
 	ID      string
 	Service string
@@ -25,15 +25,15 @@
 	Operation  *operation.ID
 }
 
-// plainRun is a plain call in progress.
+// plainRun is a call to a plain service in progress.
 type plainRun struct {
 	*run
 	req   Plain
 	tried []string
 }
 
-// RunPlain runs a plain call to its end. The answer is valid when the outcome
-// is reason.Done.
+// RunPlain runs a call to a plain service to its end. The answer is valid when
+// the outcome is reason.Done.
 func (r *Runner) RunPlain(ctx context.Context, req Plain) (service.Answer, Result) {
 	view := r.View()
 	row := view.Services[req.Service]
--- a/request/reserve.go
+++ b/request/reserve.go
@@ -63,8 +63,9 @@
 	}
 }
 
-// tryReserve requests both reservations once. The turn at the prefill engine
-// comes first, since it determines when the memory is needed.
+// tryReserve requests a turn at a prefill engine and decode memory once each.
+// The turn at the prefill engine comes first, since it determines when the
+// memory is needed.
 func (m *modelRun) tryReserve(ctx context.Context) reason.Reason {
 	if why := m.reservePrefill(ctx); why != reason.None {
 		return why
@@ -107,8 +108,8 @@
 // reservations to resume.
 const resumeTimeout = 10 * time.Second
 
-// reservePrefill requests a turn from the stewards of prefill engines in the
-// order of preference.
+// reservePrefill requests a turn (a place in an engine's prefill queue) from
+// the stewards of prefill engines in the order of preference.
 func (m *modelRun) reservePrefill(ctx context.Context) reason.Reason {
 	query := m.query
 	query.Now = clock.Now()
--- a/request/runner.go
+++ b/request/runner.go
@@ -19,7 +19,8 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// Stewards sends requests to the steward of any decode engine.
+// Stewards sends requests to the steward of any engine (the instance that grants
+// reservations at it).
 type Stewards interface {
 	Reserve(ctx context.Context, server string, req route.Demand) route.Grant
 	// Release returns at once. If the message is lost, the reservation expires
@@ -27,7 +28,8 @@
 	Release(server string, key route.ReservationKey)
 }
 
-// Witnesses sends requests to the witness that an operation ID names.
+// Witnesses sends requests to the witness that an operation ID names (the instance in
+// another zone that acknowledges an intent).
 type Witnesses interface {
 	Intent(ctx context.Context, id operation.ID) reason.Reason
 	// ReportOutcome returns at once. If the message is lost, the outcome stays unknown
@@ -37,28 +39,28 @@
 
 // Config holds the limits and the policy of one request.
 type Config struct {
-	// PollEvery is the mean pause between two attempts to reserve decode
-	// memory.
+	// PollEvery is the mean pause between two tries to reserve decode memory.
 	PollEvery time.Duration
 	// TokenTimeout is the time without a token after which a stream counts as
 	// broken. It must exceed an ordinary pause of an engine. A longer timeout
 	// delays the resume.
 	TokenTimeout time.Duration
-	// ImportTimeout bounds one transfer, and is the timeout when no rate is
-	// known yet. ShortestImport is the lower bound of the timeout when the
-	// known rate predicts a quick transfer. A stalled transfer must leave time
-	// for another decode engine within the window. A timeout below the ordinary
-	// jitter of the links would abort healthy transfers.
+	// ImportTimeout bounds one transfer, and is the timeout when no rate is known yet.
+	// ShortestImport is the lower bound of the timeout when the known rate predicts a
+	// quick transfer. A stalled transfer must leave time for another decode engine
+	// within the window in which the prefill engine keeps the KV cache. A timeout
+	// below the ordinary jitter of the links would abort healthy transfers.
 	ImportTimeout  time.Duration
 	ShortestImport time.Duration
-	// PlainTimeout bounds one call to a plain backend server.
+	// PlainTimeout bounds one call to a backend server of a plain service (without
+	// models).
 	PlainTimeout time.Duration
 	// ReserveTimeout bounds one request to a steward or a witness.
 	ReserveTimeout time.Duration
-	// MaxAttempts bounds the attempts of one request.
+	// MaxAttempts bounds the attempts (tries) of one request.
 	MaxAttempts int
-	// CancelEvery is the mean pause between two attempts to cancel an attempt
-	// at an engine.
+	// CancelEvery is the mean pause between two tries to cancel an attempt at an
+	// engine.
 	CancelEvery time.Duration
 	// CancelFor is how long a cancel is repeated. After that the engine is
 	// considered dead, so that it holds no memory any more.
@@ -70,8 +72,8 @@
 	Policy route.Policy
 }
 
-// DefaultConfig returns the defaults for engines of the sizes in the
-// requirements.
+// DefaultConfig returns the defaults for engines of the reference workload (the load
+// and machine figures that the service is designed for).
 func DefaultConfig() Config {
 	return Config{
 		PollEvery:      20 * time.Millisecond,
@@ -90,7 +92,8 @@
 
 // Deps are the dependencies of a Runner.
 type Deps struct {
-	// Home is this instance with its incarnation, as it is sent to engines.
+	// Home is this instance, as the home of its requests, with its incarnation, in the
+	// form in which it is sent to engines.
 	Home      string
 	Zone      string
 	View      func() *table.View
@@ -112,7 +115,8 @@
 	Random func() float64
 }
 
-// Runner runs the requests whose home is this instance.
+// Runner runs the requests whose home (the instance that the caller is connected to)
+// is this instance.
 type Runner struct {
 	Deps
 	config         Config
--- a/request/transfer.go
+++ b/request/transfer.go
@@ -12,7 +12,8 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// runPrefill prefills the prompt on the engine that reserved a turn.
+// runPrefill prefills the prompt on the engine at which a turn (a place in the
+// engine's prefill queue) is reserved.
 func (m *modelRun) runPrefill(ctx context.Context) (engine.PrefillResult, attemptResult, bool) {
 	selected := m.prefill
 	if !selected.Server.Breaker.Allow(clock.Now()) {
@@ -63,7 +64,8 @@
 }
 
 // transfer sends the KV cache to the decode engine. When that fails, it tries
-// another decode engine within the window.
+// another decode engine within the window in which the prefill engine keeps the
+// KV cache.
 func (m *modelRun) transfer(ctx context.Context, result engine.PrefillResult) (attemptResult, bool) {
 	expires := clock.Now().Add(time.Duration(result.WindowMillis) * time.Millisecond)
 	for {
