--- a/instance/cells_test.go
+++ b/instance/cells_test.go
@@ -171,8 +171,9 @@
 }
 
 // TestCells guards against a division of a region in which a server has no
-// steward or several, an instance knows more than its cell and a few others, or
-// a change does not reach every instance.
+// steward (the instance that grants reservations at an engine) or several, an
+// instance knows more than its cell and a few instances of other cells, or a
+// change does not reach every instance.
 func TestCells(t *testing.T) {
 	for _, instances := range regionSizes() {
 		servers := instances * 3
--- a/instance/golden_test.go
+++ b/instance/golden_test.go
@@ -84,8 +84,9 @@
 	})
 }
 
-// TestSessionHomeDies: the home dies in the middle of an answer. The engine's
-// steward finds the stream and cancels it.
+// TestSessionHomeDies: the home (the instance that the caller is connected to)
+// dies in the middle of an answer. The engine's steward (the instance that
+// grants reservations at it) finds the stream and cancels it.
 func TestSessionHomeDies(t *testing.T) {
 	runSession(t, func(s *session) {
 		s.sendModelRequest(s.ctx, s.nodes["sabana-1"], prompt(2400), 4000, func(position int) {
@@ -169,8 +170,9 @@
 	})
 }
 
-// TestSessionToldNotRun: the caller queries the witness before its call arrives
-// and gets "not run". The call then never runs, however late it arrives.
+// TestSessionToldNotRun: the caller queries the witness (the instance in
+// another zone that acknowledges an intent) before its call arrives and gets
+// "not run". The call then never runs, however late it arrives.
 func TestSessionToldNotRun(t *testing.T) {
 	runSession(t, func(s *session) {
 		home, witness := s.nodes["sabana-1"], s.nodes["heredia-1"]
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -98,15 +98,15 @@
 	c.inFlight = remaining
 }
 
-// Without failures the first in line holds the lease. The next candidate takes over
-// after the holder's death.
+// Without failures the candidate that may challenge without ChallengeDelay holds the
+// lease. The next candidate takes over after the holder's death.
 func TestTakeOver(t *testing.T) {
 	start := time.Unix(1000, 0)
 	first := NewCandidate(DefaultConfig(), "orders", "a", start)
 	next := NewCandidate(DefaultConfig(), "orders", "b", start)
 	claim, ok := first.Next(start, true)
 	if !ok {
-		t.Fatal("the first in line did not claim")
+		t.Fatal("the candidate without ChallengeDelay did not claim")
 	}
 	state, _ := State{}.Apply(claim, 7)
 	first.Observe(state, start)
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -34,7 +34,8 @@
 // protections are the rules that the search can switch off, to show what each is
 // needed for.
 type protections struct {
-	// era adds the era of the store to a lease's state. tokens adds the era of their
+	// era adds the era of the store (it increases by one each time the store is
+	// restored from an older copy) to a lease's state. tokens adds the era of their
 	// offset to tokens.
 	era, tokens bool
 	// conditions requires that a claim is appended only if the log ends where its
--- a/member/reports_test.go
+++ b/member/reports_test.go
@@ -8,12 +8,12 @@
 )
 
 // An older report must not replace a newer one. Hubs had gone silent, and an instance
-// that watches them reported it. Others had contact with one of these hubs a moment
-// later than that instance and had not received its report. They reported the hub as
-// alive to each other and to the subscribers of that instance. The reports were
-// accepted as long as there was contact with any reporter, and instances that queried
-// the hub again lost the change log of the others. This was seen on a virtual clock
-// with 58 and 120 instances in one run of three, on 22 to 42 of them at a time.
+// that watches them reported it. Other instances had contact with one of these hubs a
+// moment later than that instance and had not received its report. They reported the
+// hub as alive to each other and to the subscribers of that instance. The reports
+// were accepted as long as there was contact with any reporter, and instances that
+// queried the hub again lost the change log of the others. This was seen on a virtual
+// clock with 58 and 120 instances in one run of three, on 22 to 42 of them at a time.
 func TestOlderObservationIsIgnored(t *testing.T) {
 	m := newMembers()
 	now := start.Add(10 * time.Second)
--- a/poison/crowd_test.go
+++ b/poison/crowd_test.go
@@ -53,7 +53,7 @@
 	crashes                                  int
 }
 
-// Durations in the simulation, close to those of the users' deployment.
+// Durations in the simulation, close to those of the reference deployments.
 const (
 	stepDuration      = 10 * time.Millisecond
 	meanExecutionTime = 600 * time.Millisecond
@@ -66,8 +66,8 @@
 	lateAfter   = 3 * time.Second
 )
 
-// attempt is one attempt of a request. Requests with numbers below
-// simulationConfig.poisons crash servers.
+// attempt is one try of a request. Requests with numbers below simulationConfig.poisons
+// crash servers.
 type attempt struct {
 	number  int
 	retries int
@@ -277,7 +277,7 @@
 	return best
 }
 
-// Harmless requests must not be blamed for crashes that others cause. The test
+// Harmless requests must not be blamed for crashes that other requests cause. The test
 // simulates 1, 3 and 20 requests that crash servers, all starting within a second, each
 // retried about every quarter of a second.
 func TestHarmlessRequestsAreRarelyRefused(t *testing.T) {
--- a/registry/model_test.go
+++ b/registry/model_test.go
@@ -41,9 +41,10 @@
 	// born is the current run of the server. draining is set once the run is draining.
 	born     int64
 	draining bool
-	// newestBorn is the latest run that the instance has known. leaving holds the runs that
-	// it knew to be draining. goneIn maps the runs that it knew to be gone to the era in which
-	// it learned this.
+	// newestBorn is the latest run that the instance has known. leaving holds the runs that it
+	// knew to be draining. goneIn maps the runs that it knew to be gone to the era of the
+	// store in which it learned this (the era increases by one each time the store is restored
+	// from an older copy).
 	newestBorn int64
 	leaving    map[int64]bool
 	goneIn     map[int64]uint64
--- a/registry/older_test.go
+++ b/registry/older_test.go
@@ -47,8 +47,8 @@
 	r.Reset(older, now.Add(100*time.Millisecond))
 	check("left", false, false)
 	check("leaves", true, true)
-	// Entries that are written again are accepted. The others are dropped after the grace
-	// period.
+	// Entries that are written again are accepted. The other servers are dropped after the
+	// grace period.
 	r.Apply([]Change{
 		{ID: "came", Entry: &Entry{ID: "came", Born: 1}},
 		{ID: "again", Entry: &Entry{ID: "again", Born: 1}},
--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// BenchmarkPlainCall measures the cost of the router for one plain call.
+// BenchmarkPlainCall measures the cost of the router for one call to a plain
+// service (without models).
 func BenchmarkPlainCall(b *testing.B) {
 	r := newBenchRunner(b)
 	b.ReportAllocs()
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -9,9 +9,9 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// TestChangesReachPlan checks that the roles reach the plan whether orders are
-// carried out late or at once. It allows no more orders than needed, and no
-// role may be left without an engine.
+// TestChangesReachPlan checks that the roles reach the plan whether orders to
+// change an engine's role are carried out late or at once. It allows no more
+// orders than needed, and no role may be left without an engine.
 func TestChangesReachPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 40).Draw(t, "engines")
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -165,7 +165,7 @@
 func TestAllServersOfServiceWithoutShareAreUsed(t *testing.T) {
 	s := New("i", "z", []Share{{Service: "known", Near: 20, Far: 20}})
 	if !s.Contains("a", "new", "z") || s.Contains("a", "known", "z") && s.Contains("b", "known", "z") {
-		t.Error("wrong servers for a service without a share or with a small one")
+		t.Error("wrong servers for a service without a share or with a small share")
 	}
 	if (*Subset)(nil).Fingerprint() != 0 || s.Fingerprint() == New("i", "z", []Share{{Service: "known", Near: 19, Far: 20}}).Fingerprint() {
 		t.Error("fingerprints do not distinguish subsets")
