--- a/client/client.go
+++ b/client/client.go
@@ -303,7 +303,7 @@
 	return result
 }
 
-// Call is one call to a plain service.
+// Call is one call to a plain service (without models).
 type Call struct {
 	Service string
 	Method  string
@@ -323,7 +323,8 @@
 }
 
 // Do sends a plain call. When the answer to a call with an operation ID is
-// lost, it queries the witness for the outcome.
+// lost, it queries the witness (the instance in another zone that acknowledged
+// the intent of the call) for the outcome.
 func (c *Client) Do(ctx context.Context, call Call) CallResult {
 	var result CallResult
 	for range maxDials {
--- a/peer/message.go
+++ b/peer/message.go
@@ -15,7 +15,8 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// ServerLoad is a steward's digest of one backend server's load report.
+// ServerLoad is the summary of one backend server's load report, made by its
+// steward (the instance that grants reservations at an engine).
 type ServerLoad struct {
 	// ID is route.ServerID of the server's name.
 	ID            uint32 `cbor:"1,keyasint"`
@@ -65,7 +66,9 @@
 	Attempt   int    `cbor:"3,keyasint"`
 }
 
-// Intent informs a witness that the home is about to send an operation.
+// Intent informs a witness (the instance in another zone that acknowledges an
+// intent) that the home (the instance that the caller is connected to) is about
+// to send an operation.
 type Intent struct {
 	Operation string `cbor:"1,keyasint"`
 }
@@ -127,13 +130,15 @@
 	Silence time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
-// Claim identifies an attempt that an engine holds.
+// Claim identifies an attempt (one try of a request) for which an engine holds
+// memory.
 type Claim struct {
 	RequestID string `cbor:"1,keyasint"`
 	Attempt   int    `cbor:"2,keyasint"`
 }
 
-// ClaimsRequest asks a home which attempts of a list it still works on.
+// ClaimsRequest lists attempts and asks their home which of them it still works
+// on.
 type ClaimsRequest struct {
 	Home   operation.Member `cbor:"1,keyasint"`
 	Claims []Claim          `cbor:"2,keyasint"`
@@ -144,7 +149,7 @@
 	// Home is the member that answers. A later run of the home's process
 	// doesn't know the attempts of an earlier run.
 	Home operation.Member `cbor:"1,keyasint"`
-	// Abandoned are the attempts that have ended.
+	// Abandoned are the requested attempts on which the home no longer works.
 	Abandoned []Claim `cbor:"2,keyasint,omitempty"`
 }
 
--- a/peer/quic_test.go
+++ b/peer/quic_test.go
@@ -16,7 +16,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // testInstance is an instance that answers every Reserve with one free memory piece
-// and counts heartbeats.
+// (the unit of KV cache memory, 2,000 tokens) and counts heartbeats.
 type testInstance struct {
 	*QUIC
 	keys       *Keys
--- a/service/service.go
+++ b/service/service.go
@@ -1,5 +1,6 @@
-// Package service sends calls to plain backend servers. A plain backend server
-// answers one HTTP call at a time, and some of its calls must not be repeated.
+// Package service sends calls to plain backend servers (without models). A plain
+// backend server answers one HTTP call at a time, and some of its calls must not
+// be repeated.
 package service
 
 import (
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -100,8 +100,8 @@
 	return written
 }
 
-// answer reads answers until one belongs to the request. Others are late
-// duplicates of answers to earlier requests and are dropped.
+// answer reads answers until one belongs to the request. Any other answer is a
+// late duplicate of an answer to an earlier request and is dropped.
 func (c *Conn) answer(message Message) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: message.Method})
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -128,8 +128,8 @@
 	p.idle = kept
 }
 
-// Close closes the idle connections at once and the others when they are
-// released.
+// Close closes the idle connections at once and the connections in use when
+// they are released.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
