--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -30,7 +30,7 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// Platform is one instance on the users' platform, with its listeners.
+// Platform is one instance on the platform, with its listeners.
 type Platform struct {
 	settings platform.Settings
 	edge     *edge.Instance
@@ -98,8 +98,9 @@
 	return p, nil
 }
 
-// registerEraMetrics exports the store's era as the instance knows it, and the number
-// of answers that the instance dropped because of their era.
+// registerEraMetrics exports the era of the store (it increases by one each time the
+// store is restored from an older copy) as the instance knows it, and the number of
+// answers that the instance dropped because of their era.
 func (p *Platform) registerEraMetrics() {
 	eras := &p.store.Eras
 	p.metrics.RegisterGauge("store_era", "Era of the store, by its last answer.", func() float64 { return float64(eras.Current()) })
@@ -199,7 +200,7 @@
 }
 
 // backpressureOf returns the backpressure state that one run of a server's process has
-// reported. For listed servers it takes no lock.
+// reported. It takes no lock for servers in the list of backend servers.
 func (p *Platform) backpressureOf(run string) *backpressure.Server {
 	if server := p.edge.Fleet.Server(run); server != nil {
 		return server.Pressure
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -20,7 +20,8 @@
 	// ErrRefused means that the engine answered that it did not accept the
 	// order.
 	ErrRefused = errors.New("engine refused the order")
-	// ErrNoMemory means that the engine has too few free memory pieces.
+	// ErrNoMemory means that the engine has too few free memory pieces (units of
+	// KV cache memory, 2,000 tokens).
 	ErrNoMemory = errors.New("engine has no free memory")
 	// ErrExpired means that the engine no longer has the prefill result or the
 	// KV handle.
@@ -30,12 +31,13 @@
 	ErrBroken = errors.New("engine connection broken")
 )
 
-// Attempt identifies one attempt of one request at an engine.
+// Attempt identifies one attempt (one try of a request) at an engine.
 type Attempt struct {
 	RequestID string `json:"request_id"`
 	Number    int    `json:"attempt"`
-	// Home is the home instance with its incarnation, "name.incarnation".
-	// A steward cancels the attempts of a dead incarnation.
+	// Home is the home (the instance that the caller is connected to) with its
+	// incarnation, "name.incarnation". A steward (the instance that grants
+	// reservations at an engine) cancels the attempts of a dead incarnation.
 	Home string `json:"home"`
 }
 
@@ -136,8 +138,8 @@
 	Cancel(ctx context.Context, address string, attempt Attempt) error
 	Load(ctx context.Context, address string) (Load, error)
 	CacheEvents(ctx context.Context, address string, after int64) ([]CacheEvent, error)
-	// Order makes the engine load weights. Only the holder of the lease on
-	// orders calls it.
+	// Order makes the engine load weights. Only the instance that holds the lease
+	// on orders to engines calls it.
 	Order(ctx context.Context, address string, order WeightsOrder) error
 }
 
@@ -152,8 +154,8 @@
 }
 
 // PieceTokens is the size of one memory piece, in tokens. A memory piece is the
-// unit of KV cache memory. The users specify that "memory is allocated in
-// pieces of about 2,000".
+// unit of KV cache memory. The service requirements say that "memory is allocated
+// in pieces of about 2,000".
 const PieceTokens = 2000
 
 // bytesPerToken is the usual average for text. Engines report exact counts.
