--- a/compare/compare.go
+++ b/compare/compare.go
@@ -45,8 +45,8 @@
 	Offered int
 	Good    int
 	Done    int
-	// Goodput is the fraction of the offered requests that were done within
-	// both latency targets.
+	// Goodput is the fraction of the offered requests that were done within the
+	// targets for the time to first token and the time between tokens.
 	Goodput float64
 	// WastedPrefill is the fraction of the prefilled prompt tokens whose result was
 	// not used.
@@ -174,8 +174,8 @@
 	between []time.Duration
 	offered map[string]int
 	good    map[string]int
-	// bySecond counts all requests and those within both targets by the second
-	// of their arrival.
+	// bySecond counts all requests, and those within the targets for the time to
+	// first token and the time between tokens, by the second of their arrival.
 	bySecond map[int]*secondCount
 }
 
@@ -324,8 +324,9 @@
 	return load.Plan(profile, c.Duration, c.Seed)
 }
 
-// requestCost returns how much of the two resources one request uses, in
-// seconds of one prefill engine and in piece-seconds of decode memory.
+// requestCost returns how much of the two resources one request uses, in seconds of
+// one prefill engine and in seconds of one memory piece (the unit of KV cache memory,
+// 2,000 tokens) of a decode engine.
 func requestCost(e standin.EngineConfig, a load.Arrival) (prefill, memory float64) {
 	tokens := engine.EstimateTokens(len(a.Prompt))
 	prefill = float64(tokens) / e.TokenRate
@@ -359,8 +360,8 @@
 
 // goodputBound returns the fraction of the arrivals that a policy with full
 // knowledge could serve. It takes the cheapest requests first until a resource
-// is used up. It assumes that work can be split and moved freely and that prefix
-// caches always hit.
+// is used up. It assumes that work can be split and moved between engines freely
+// and that prefix caches always hit.
 func goodputBound(c Case, arrivals []load.Arrival) float64 {
 	e := standin.DefaultEngine("")
 	span := (c.Duration + load.DefaultTargets().FirstToken).Seconds()
--- a/standin/answer.go
+++ b/standin/answer.go
@@ -1,7 +1,8 @@
 // Package standin holds small fakes of the systems around mastwheel, for tests
 // and the local trial: the platform's log, instance list and weight store,
-// model engines and plain services. Each fake keeps a ledger of the operations
-// that took effect. The router's guarantees are checked against the ledgers.
+// model engines and plain services (without models). Each fake keeps a ledger of
+// the operations that took effect. The router's guarantees are checked against
+// the ledgers.
 package standin
 
 import (
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -11,7 +11,7 @@
 // EngineConfig configures the speed and size of one model engine.
 type EngineConfig struct {
 	Name string
-	// Pieces is the KV cache memory, in memory pieces of engine.PieceTokens tokens.
+	// Pieces is the KV cache memory, in memory pieces (units) of engine.PieceTokens tokens.
 	Pieces int
 	// TokenRate is the prefill speed, in tokens per second.
 	TokenRate float64
@@ -34,7 +34,7 @@
 	WeightsBytes int64
 }
 
-// DefaultEngine returns the configuration of the users' workload: a decode
+// DefaultEngine returns the configuration of the reference workload: a decode
 // engine holds about twenty requests, a prefill costs as much as many tens of
 // output tokens, and its result expires in less than a second.
 func DefaultEngine(name string) EngineConfig {
--- a/standin/instant.go
+++ b/standin/instant.go
@@ -11,8 +11,10 @@
 	"github.com/mastwheel/mastwheel/service"
 )
 
-// Instant plays engines, plain servers, stewards, witnesses and callers that all
-// answer immediately. It is used to measure the router's own cost.
+// Instant plays engines, plain servers (without models), stewards (the instances
+// that grant reservations at engines), witnesses (the instances in another zone that
+// acknowledge intents) and callers. All of them answer immediately. Instant is used to
+// measure the router's own cost.
 type Instant struct{}
 
 // Prefill implements engine.Client.
--- a/trial/check.go
+++ b/trial/check.go
@@ -9,13 +9,13 @@
 	"github.com/mastwheel/mastwheel/reason"
 )
 
-// Violation is one broken promise that the ledgers show.
+// Violation is one broken guarantee that the ledgers show.
 type Violation struct {
 	Promise string `json:"promise"`
 	Detail  string `json:"detail"`
 }
 
-// Promises that each trial checks.
+// Guarantees that each trial checks.
 const (
 	promiseOnce      = "a non-idempotent call runs at most once"
 	promiseNotRun    = "what is told not run did not run"
@@ -65,10 +65,10 @@
 
 const (
 	// releaseBoundHomeAlive bounds the time to release memory while the caller's home
-	// runs.
+	// (the instance that the caller is connected to) runs.
 	releaseBoundHomeAlive = time.Second
-	// releaseBoundHomeDown bounds it when the home is killed or suspended, and when
-	// engines are temporarily unreachable.
+	// releaseBoundHomeDown bounds the time to release memory when the home is killed or
+	// suspended, and when engines are temporarily unreachable.
 	releaseBoundHomeDown = releaseTimeout
 )
 
--- a/trial/deployment.go
+++ b/trial/deployment.go
@@ -1,7 +1,7 @@
 // Package trial runs a small complete system in one process on loopback. It
 // consists of instances, sample traffic, and stand-ins for the platform, for
-// model engines and for plain services. The package checks the promises against
-// the ledgers of the stand-ins and of the callers.
+// model engines and for plain services (without models). The package checks the
+// guarantees against the ledgers of the stand-ins and of the callers.
 package trial
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// Deployment is one of the users' deployments at its current size.
+// Deployment is one of the reference deployments at its current size.
 type Deployment struct {
 	Name  string
 	Zones []string
@@ -32,7 +32,7 @@
 	Traffic       load.Profile
 }
 
-// Deployments holds the users' deployments by name. Each has nine engines and
+// Deployments holds the reference deployments by name. Each has nine engines and
 // three plain servers in three availability zones.
 var Deployments = map[string]Deployment{
 	"cooperativa": {
--- a/trial/held.go
+++ b/trial/held.go
@@ -10,11 +10,12 @@
 )
 
 // HeldAfter reports how long decode memory stayed held for departed callers.
-// A caller departs when it disconnects, or when its home is killed and the
-// connection closes.
+// A caller departs when it disconnects, or when its home (the instance that it is
+// connected to) is killed and the connection closes.
 type HeldAfter struct {
 	Callers int `json:"callers"`
-	// PieceSeconds is the mean per caller.
+	// PieceSeconds is the mean per departed caller. Each memory piece (the unit of KV
+	// cache memory, 2,000 tokens) counts for the seconds for which it stayed held.
 	PieceSeconds float64 `json:"piece_seconds"`
 	P99Millis    float64 `json:"p99_ms"`
 	WorstMillis  float64 `json:"worst_ms"`
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -165,8 +165,8 @@
 	return addresses
 }
 
-// awaitReady waits until every instance has the table and lists the others as
-// serving.
+// awaitReady waits until every instance has the table and lists the other instances
+// as serving.
 func (t *Trial) awaitReady() error {
 	deadline := time.Now().Add(startTimeout)
 	for time.Now().Before(deadline) {
--- a/trial/world.go
+++ b/trial/world.go
@@ -108,7 +108,8 @@
 	return listener, errors.Wrap(err, "listen on loopback")
 }
 
-// heldPieces counts the decode memory pieces held on all engines.
+// heldPieces counts the decode memory pieces (units of KV cache memory, 2,000 tokens)
+// held on all engines.
 func (env *environment) heldPieces() int {
 	held := 0
 	for _, engine := range env.engines {
