--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -31,15 +31,15 @@
 	OnceCalls float64
 }
 
-// Today is the current size of one user's deployment: 8 instances and 12 backend
+// Today is the current size of one reference deployment: 8 instances and 12 backend
 // servers, with the sample traffic of the local trial.
 var Today = Size{
 	Name: "today", Instances: 8, Workers: 12, HeldPerWorker: 20, Requests: 24, Tokens: 1350, Teams: 3, Models: 1,
 	Regions: 1, Zones: 3, Changes: 20, Replaced: 8, Failed: 0.5, KVBytes: 14 * 295e6, OnceCalls: 0.2,
 }
 
-// Full is the size that the system is designed for. It is the users' plan for
-// the next two years.
+// Full is the size that the system is designed for. It is the reference
+// workload's plan for the next two years.
 var Full = Size{
 	Name: "full size", Instances: 1400, Workers: 10_000, HeldPerWorker: 20, Requests: 78_000, Tokens: 19e6, Teams: 15_000,
 	Models: 6, Regions: 3, Zones: 8, Changes: 11_000, Replaced: 980, Failed: 81, KVBytes: 23_000e9, OnceCalls: 0.2,
@@ -66,7 +66,8 @@
 	// listEntryBytes is the size of an instance list entry as JSON.
 	listEntryBytes = 90
 	// operationSeconds is how long an operation is remembered: its lifetime of
-	// two minutes and one more minute at the witness.
+	// two minutes and one more minute at the witness (the instance in another zone
+	// that acknowledges the intent).
 	operationSeconds = 180
 	// tracesKept is the number of request traces that each instance keeps for
 	// operators.
@@ -124,7 +125,7 @@
 func (p Plan) CellWorkers() float64 { return p.Workers / p.Cells() }
 
 // OwnWorkers returns the number of backend servers of which one instance is the
-// steward.
+// steward (the instance that grants reservations at an engine).
 func (p Plan) OwnWorkers() float64 { return p.Workers / p.Instances }
 
 // PoolSize returns the number of candidates of one placement decision. These are
@@ -132,7 +133,8 @@
 // pools.
 func (p Plan) PoolSize() float64 { return p.CellWorkers() / p.Models / 2 }
 
-// OwnRequests returns the requests per second for which an instance is the home.
+// OwnRequests returns the requests per second for which an instance is the home (the
+// instance that the caller is connected to).
 func (p Plan) OwnRequests() float64 { return p.Requests / p.Instances }
 
 // OwnTokens returns the tokens that one instance relays per second.
@@ -167,22 +169,22 @@
 const queriesPerRequest = 3
 
 // ReserveRate returns the queries per second that an instance sends to stewards.
-// It answers as many as a steward.
+// As a steward it answers the same number.
 func (p Plan) ReserveRate() float64 {
 	return queriesPerRequest * p.OwnRequests() * (1 - 1/p.Cell())
 }
 
-// ReserveBytes returns the bytes per second for reservations in both roles.
+// ReserveBytes returns the bytes per second for reservations, as home and as steward.
 func (p Plan) ReserveBytes() float64 { return 2 * p.ReserveRate() * p.Slope("call_bytes").Each }
 
-// ReserveCPU returns the processor time for reservations in both roles, in
-// nanoseconds per second. The slope includes both ends of a query.
+// ReserveCPU returns the processor time for reservations, as home and as steward,
+// in nanoseconds per second. The slope includes both ends of a query.
 func (p Plan) ReserveCPU() float64 { return p.ReserveRate() * p.Slope("call_cpu").Each }
 
-// WitnessBytes returns the bytes per second for intents, in both roles.
+// WitnessBytes returns the bytes per second for intents, as home and as witness.
 func (p Plan) WitnessBytes() float64 { return p.OnceCalls * p.ReserveBytes() / queriesPerRequest }
 
-// WitnessCPU returns the processor time for intents, in both roles, in
+// WitnessCPU returns the processor time for intents, as home and as witness, in
 // nanoseconds per second.
 func (p Plan) WitnessCPU() float64 { return p.OnceCalls * p.ReserveCPU() / queriesPerRequest }
 
@@ -192,8 +194,8 @@
 	return pollsPerSecond * p.OwnWorkers() * p.Slope("poll_cpu").At(p.HeldPerWorker)
 }
 
-// DecideCPU returns the processor time for both placement decisions of a request,
-// in nanoseconds.
+// DecideCPU returns the processor time for the placement of a request at a prefill
+// and at a decode engine, in nanoseconds.
 func (p Plan) DecideCPU() float64 { return 2 * p.Slope("decide_cpu").At(p.PoolSize()) }
 
 // RequestCPU returns the processor time of the router for one request, in
@@ -228,7 +230,7 @@
 func (p Plan) EditBytes() float64 { return p.Slope("edit_bytes").At(1) }
 
 // TableMemory returns the memory for the table and its view, in bytes. A change
-// keeps the old and the new ones at the same time.
+// keeps the old and the new table and view at the same time.
 func (p Plan) TableMemory() float64 { return 2 * p.Slope("table_memory").At(p.Rows()) }
 
 // MemberMemory returns the memory for the known siblings, in bytes.
@@ -257,7 +259,7 @@
 }
 
 // SummaryBytes returns the size of a cell's summary, taken as a heartbeat with
-// one digest per model.
+// one load summary per model.
 func (p Plan) SummaryBytes() float64 { return p.Slope("heartbeat_bytes").At(p.Models) }
 
 // SummaryLoad returns the bytes per second that the summarising instance of a
--- a/load/plan.go
+++ b/load/plan.go
@@ -14,7 +14,7 @@
 type Profile struct {
 	Model string
 	// Rate is the mean number of model requests per second. PlainRate is the
-	// mean number of calls to the plain service per second.
+	// mean number of calls to the plain service (without models) per second.
 	Rate      float64
 	PlainRate float64
 	Service   string
--- a/load/run.go
+++ b/load/run.go
@@ -19,8 +19,8 @@
 	BetweenTokens time.Duration
 }
 
-// DefaultTargets returns the targets that the project's requirements set: 1.1 s
-// to the first token and 41 ms between tokens.
+// DefaultTargets returns the targets in the service requirements: 1.1 s to the
+// first token and 41 ms between tokens.
 func DefaultTargets() Targets {
 	return Targets{FirstToken: 1100 * time.Millisecond, BetweenTokens: 41 * time.Millisecond}
 }
--- a/load/summary.go
+++ b/load/summary.go
@@ -10,9 +10,9 @@
 	Done     int `json:"done"`
 	NotRun   int `json:"not_run"`
 	Unknown  int `json:"unknown"`
-	// Goodput is the fraction of model requests that were done within both
-	// targets, not counting those that their callers cancelled. GoodputPerSecond
-	// is the rate of these requests.
+	// Goodput is the fraction of model requests that were done within the targets for
+	// the time to first token and the time between tokens, not counting those that
+	// their callers cancelled. GoodputPerSecond is the rate of these requests.
 	Goodput          float64 `json:"goodput"`
 	GoodputPerSecond float64 `json:"goodput_per_s"`
 	FirstTokenP95    float64 `json:"ttft_p95_ms"`
