--- a/cmd/mastwheel/try.go
+++ b/cmd/mastwheel/try.go
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// tryPlatform runs instances against the stand-in of the users' platform.
+// tryPlatform runs instances against the stand-in of the platform.
 func tryPlatform(ctx context.Context, out io.Writer, options trial.Options, asJSON bool) error {
 	if err := logging.Setup(io.Discard, 0); err != nil {
 		return err
--- a/cmd/mastwheeld/main.go
+++ b/cmd/mastwheeld/main.go
@@ -124,10 +124,11 @@
 	for range hangups {
 		identity, err := peer.LoadIdentity(files.Certificate, files.Key, files.Authorities)
 		if err != nil {
-			klog.ErrorS(err, "Reloading the keys failed; the current keys stay in use")
+			klog.ErrorS(err,
+				"Reloading the TLS keys for siblings failed; the current keys stay in use")
 			continue
 		}
 		keys.Replace(identity)
-		klog.InfoS("Keys were reloaded")
+		klog.InfoS("TLS keys for siblings were reloaded")
 	}
 }
--- a/cmd/mastwheeld/platform.go
+++ b/cmd/mastwheeld/platform.go
@@ -17,7 +17,7 @@
 	"github.com/mastwheel/mastwheel/platform"
 )
 
-// platformCommand returns the command that runs an instance on the users' platform.
+// platformCommand returns the command that runs an instance on the platform.
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
