--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -36,7 +36,8 @@
 
 // At a load of 1.1, the default policy wastes at most 1% of the prefill. Every
 // baseline wastes at least ten times as much as it, and no baseline has a higher
-// goodput by more than 0.01. The long runs of TestWrite show the same.
+// goodput (the fraction of requests done within their latency targets) by more than
+// 0.01. The long runs of TestWrite show the same.
 func TestPlacementAtFullLoad(t *testing.T) {
 	base := Case{Deployment: trial.Deployments["cooperativa"], Instances: 3, Load: 1.1, Duration: 15 * time.Second, Seed: 1}
 	base.Policy = route.DefaultPolicy()
--- a/peer/quic_test.go
+++ b/peer/quic_test.go
@@ -138,7 +138,7 @@
 	ours := openInstance(t, authority, "ours")
 	defer ours.stop()
 	// The impostor trusts the authority, but its certificate is signed by
-	// another one.
+	// another authority.
 	impostor := openInstance(t, mustAuthority(t), "impostor")
 	defer impostor.stop()
 	trusted, err := authority.Identity("trusted")
