--- a/peer/quic_test.go
+++ b/peer/quic_test.go
@@ -16,7 +16,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // testInstance is an instance that answers every Reserve with one free memory piece
-// and counts heartbeats.
+// (the unit of KV cache memory, 2,000 tokens) and counts heartbeats.
 type testInstance struct {
 	*QUIC
 	keys       *Keys
@@ -138,7 +138,7 @@
 	ours := openInstance(t, authority, "ours")
 	defer ours.stop()
 	// The impostor trusts the authority, but its certificate is signed by
-	// another one.
+	// another authority.
 	impostor := openInstance(t, mustAuthority(t), "impostor")
 	defer impostor.stop()
 	trusted, err := authority.Identity("trusted")
