--- a/route/filter_memory.go
+++ b/route/filter_memory.go
@@ -1,8 +1,8 @@
 package route
 
-// MemoryFilter drops decode engines whose total memory is too small for the request.
-// The steward (the instance that grants reservations at the engine) decides whether
-// enough of it is free at the moment, since reports lag.
+// MemoryFilter drops decode engines whose total memory is too small for the request. The
+// steward (the instance that grants reservations at the engine) decides whether enough of it is
+// free at the moment, since the engines' reports arrive late.
 type MemoryFilter struct{}
 
 // Name implements Filter.
--- a/route/forwarding.go
+++ b/route/forwarding.go
@@ -15,11 +15,11 @@
 
 var forwardingFilters = append([]Filter{SilentFilter{Limit: maxNormalSilence}, BackoffFilter{}, LimitFilter{}, RefusingFilter{}}, commonFilters...)
 
-// ForwardPrefill returns the profile that selects prefill engines. The zone decides
-// only between engines that finish about equally soon: with more weight, one engine's
-// queue grows to three times another's in a burst. The better of two engines drawn at
-// random is selected, as in ForwardDecode. This raises the score by 0.02 with 58
-// instances, and with two engines it selects the better of all.
+// ForwardPrefill returns the profile that selects prefill engines. The zone decides only
+// between engines that finish about equally soon: with more weight, one engine's queue grows to
+// three times another's in a burst. The better of two engines drawn at random is selected, as
+// in ForwardDecode. This raises the score by 0.02 with 58 instances, and with two engines it
+// always selects the better one.
 func ForwardPrefill() *Profile {
 	return &Profile{
 		Filters: forwardingFilters,
@@ -53,9 +53,9 @@
 // weightTieBreak lets the zone decide only between servers with about equal scores.
 const weightTieBreak = 0.02
 
-// ForwardPlain returns the profile that selects servers of plain services. It selects
-// the better of two drawn at random, since many instances that all follow the same
-// lagging loads would send to the same server at once.
+// ForwardPlain returns the profile that selects servers of plain services. It selects the
+// better of two drawn at random, since many instances that follow the same delayed load reports
+// would all send to the same server.
 func ForwardPlain() *Profile {
 	return &Profile{
 		Filters: forwardingFilters,
--- a/route/policy.go
+++ b/route/policy.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Baselines returns the policies that mastwheel is compared with. Each selects
-// servers alone by lagging reports, sends at once and retries after a refusal.
+// Baselines returns the policies that mastwheel is compared with. Each selects servers only by
+// their delayed reports, sends requests without a reservation, and retries after a refusal.
 func Baselines() []Policy {
 	baseline := func(name string, picker func() Picker, scorers ...WeightedScorer) Policy {
 		profile := func() *Profile {
--- a/route/refusal.go
+++ b/route/refusal.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// A server that has just refused work is full or changes its role, and refuses again
-// for a while. Sending to it at once costs a round trip, or a prompt that is read in
-// vain.
+// A server that has just refused work is full or changes its role, and refuses again for a
+// while. Sending to it again immediately costs a round trip, or a prompt is read in vain.
 
 const (
-	// initialRefusalBackoff is the backoff after one refusal. It is about the time in
-	// which a full engine finishes a request at the peak, twenty a second over seven
-	// engines (source: the reference workload).
+	// initialRefusalBackoff is the backoff after one refusal. It is about the time in which a
+	// full engine finishes a request at the peak, twenty requests a second over seven engines
+	// (source: the reference workload).
 	initialRefusalBackoff = 50 * time.Millisecond
 	// maxBackoff limits the backoff after many failures in a row.
 	maxBackoff = 1600 * time.Millisecond
 	// initialConnectBackoff is the backoff after a connection could not be opened.
 	// The server's process is down, and restarts within seconds if at all.
 	initialConnectBackoff = 200 * time.Millisecond
-	// initialHandoffBackoff is the backoff after a result of a prefill engine could
-	// not be used. Each such result costs a whole prompt.
+	// initialHandoffBackoff is the backoff after a decode engine could not use a prefill
+	// engine's result. Each such result costs a whole prompt.
 	initialHandoffBackoff = 200 * time.Millisecond
 )
 
@@ -69,10 +68,10 @@
 // HandoffDone records that a prefill result of the server was used.
 func (s *Server) HandoffDone() { s.handoffBackoff.reset() }
 
-// misdirectedBackoff is the backoff from a server that is not the listed server, or not
-// in its listed role. The list of backend servers lags by a second, and the entry of a
-// server whose process has exited expires after three of its heartbeats (source: the
-// reference deployments, 1.2 s each).
+// misdirectedBackoff is the backoff after another server than the listed one answered at an
+// address, or the listed one in another role. The list of backend servers lags by a second, and
+// the entry of a server whose process has exited expires after three of its heartbeats (source:
+// the reference deployments, 1.2 s each).
 const misdirectedBackoff = 3600 * time.Millisecond
 
 // Misdirected records that another server answered in place of this one, or that this
--- a/route/server.go
+++ b/route/server.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// notifyThresholdTokens is the change of memory that siblings are notified of at
-// once. A stream grows by one event of 64 tokens at a time. Without the threshold
-// each stream would cause twenty notifications a second.
+// notifyThresholdTokens is the change of memory that siblings are notified of immediately. A
+// stream grows by one event of 64 tokens at a time. Without the threshold each stream would
+// cause twenty notifications a second.
 const notifyThresholdTokens = 500
 
 // notifyChange reports that this instance's commitment at the server has changed.
@@ -160,8 +160,8 @@
 	}
 }
 
-// AddUnread records that this instance sent that many prompt tokens that are not yet
-// read. The returned function records that they are.
+// AddUnread records that this instance sent that many prompt tokens that are not yet read. The
+// returned function records that they have been read.
 func (s *Server) AddUnread(tokens int) (read func()) {
 	if tokens == 0 {
 		return func() {}
@@ -209,9 +209,9 @@
 	return int(rate * in.Seconds())
 }
 
-// ServerID returns a short hash of a backend server's name for messages between
-// siblings. Two servers of a cell hardly ever share an id, and if they do, only their
-// scores are mixed up.
+// ServerID returns a short hash of a backend server's name for messages between siblings. Two
+// servers of a cell (the group of instances that know each other fully) hardly ever share an
+// id, and if they do, only their scores are mixed up.
 func ServerID(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // Fleet holds the Server of each backend server. Readers load one immutable index.
--- a/route/silence.go
+++ b/route/silence.go
@@ -18,8 +18,8 @@
 // epoch is the origin of a monotonic clock that fits into an atomic.
 var epoch = time.Now()
 
-// AwaitAnswer records that an answer is awaited from now on. The returned function records
-// that it no longer is.
+// AwaitAnswer records that an answer of the server is awaited from now on. The returned
+// function records the end of the wait.
 func (s *Server) AwaitAnswer(now time.Time) (end func()) {
 	if s.silence.waiting.Add(1) == 1 {
 		s.silence.since.Store(int64(now.Sub(epoch)))
--- a/route/sizes.go
+++ b/route/sizes.go
@@ -28,10 +28,10 @@
 	// minEnded is how many requests must have ended before their spread replaces the
 	// error of callers' guesses.
 	minEnded = 20
-	// spareDeviations is how many standard deviations of what the requests of an engine
-	// generate stay free. The requests of one engine in twenty outgrow it (the normal
-	// distribution's 95 in 100). A value of 0.8 scores 0.013 less where answers are as
-	// long as prompts, and 0.004 more where they are a fifth as long.
+	// spareDeviations is the memory that stays free at an engine, in standard deviations of the
+	// number of tokens that its requests generate. The requests of one engine in twenty outgrow
+	// it (the normal distribution's 95 in 100). A value of 0.8 scores 0.013 less where answers
+	// are as long as prompts, and 0.004 more where they are a fifth as long.
 	spareDeviations = 1.645
 )
 
@@ -45,7 +45,7 @@
 	s.expected += (float64(expected) - s.expected) / s.started
 }
 
-// RecordEnd records a request that ended by itself.
+// RecordEnd records a request whose answer was complete.
 func (s *Sizes) RecordEnd(expected, generated int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/route/steward.go
+++ b/route/steward.go
@@ -24,8 +24,8 @@
 	// long the memory is then expected to be held.
 	ArrivesIn time.Duration
 	HoldFor   time.Duration
-	// Headroom is the memory, in pieces, that must stay free. Requests that should
-	// yield to others set more of it.
+	// Headroom is the memory, in pieces, that must stay free. It is larger for requests that
+	// should yield to others.
 	Headroom int
 	// Tokens is the number of tokens that a prefill engine is to read; 0 for a decode
 	// engine.
@@ -167,13 +167,13 @@
 	return ledger
 }
 
-// freeAtSlack is how much later than expected memory may become free without having
-// been promised to another attempt.
+// freeAtSlack is how much later than expected memory may become free: until then it is not
+// promised to another attempt.
 const freeAtSlack = 50 * time.Millisecond
 
-// free counts the pieces that are expected to be free at a moment: neither reported
-// as held nor promised beyond it. Memory that is held longer than expected counts as
-// held for as long as it is reported.
+// free counts the pieces that are expected to be free at a moment: neither held, by the
+// engine's report, nor promised to an attempt beyond that moment. Memory that is held longer
+// than expected counts as held for as long as it is reported.
 func (l *workerLedger) free(at time.Time) int {
 	used := 0
 	for key, pieces := range l.report.Held {
@@ -195,9 +195,9 @@
 	return l.report.Pieces - used
 }
 
-// ahead counts the tokens that are promised a turn and not yet read. Tokens that the
-// engine reports beyond them were promised by an earlier steward, or by no steward.
-// They count only while nothing is promised.
+// ahead counts the prompt tokens that have a promised turn in the engine's queue and are not
+// yet read. Tokens that the engine reports beyond them were promised by an earlier steward, or
+// by no steward. They count only while nothing is promised.
 func (l *workerLedger) ahead(now time.Time) int {
 	promised := 0
 	for _, h := range l.holds {
