--- a/forward/decision.go
+++ b/forward/decision.go
@@ -28,7 +28,7 @@
 	// viewAge is the time from the moment the view was last known to be current until the
 	// decision.
 	viewAge time.Duration
-	// newest is the position of the instance's newest view at that moment.
+	// newest is the log position of the newest view of the servers that the instance had then.
 	newest oplog.Position
 }
 
--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -75,11 +75,11 @@
 	// FirstTokenMargin is the time kept between the expected first token and its target, for the
 	// transfer and the first decode step.
 	FirstTokenMargin time.Duration
-	// PlainShutdownMargin is how long before the end of a graceful shutdown plain requests are no longer
-	// accepted. Nearly all plain requests take less time.
+	// PlainShutdownMargin is how long before the end of a graceful shutdown plain requests are
+	// no longer accepted. Nearly all plain requests take less time.
 	PlainShutdownMargin time.Duration
 	// StoppingRetryDelay is the retry delay for callers that a stopping instance refuses. It is
-	// short because other instances can serve them at once.
+	// short because other instances can serve them immediately.
 	StoppingRetryDelay time.Duration
 	// StreamGrace is how long after the start of a graceful shutdown streams are still
 	// accepted. Later streams might not end before the instance does.
--- a/forward/generate.go
+++ b/forward/generate.go
@@ -34,8 +34,8 @@
 	runs int
 	// noRerun is set once a run at another engine was not possible.
 	noRerun bool
-	// stallTimer ends the current run if it falls silent; nil if the request cannot continue
-	// at another engine. cancelRun ends the run at once.
+	// stallTimer ends the current run if it falls silent; nil if the request cannot continue at
+	// another engine. cancelRun ends the run immediately.
 	stallTimer *time.Timer
 	cancelRun  context.CancelFunc
 
@@ -53,7 +53,8 @@
 	readAtDecode bool
 	// endPromptRead removes the prompt from the decode engine's count of unread tokens.
 	endPromptRead func()
-	// endRun removes the run from the counts that are kept of the decode engine.
+	// endRun removes the run from the decode engine's counts of requests, awaited answers and
+	// unread tokens.
 	endRun func()
 }
 
--- a/forward/memory.go
+++ b/forward/memory.go
@@ -13,7 +13,8 @@
 )
 
 // reserve reserves memory at a decode engine. If no engine has enough, it retries for a short
-// while. A caller that is refused within a fraction of its target loses least.
+// while. A caller loses least if it is refused within the fraction RefuseWithin of its
+// first-token target.
 func (g *generation) reserve() *stepError {
 	until := g.since.Add(time.Duration(g.config.RefuseWithin * float64(g.route.TTFT)))
 	for {
@@ -196,8 +197,9 @@
 
 // margin returns the fraction of the expected tokens for which memory is reserved. Memory
 // needed beyond that is found at the same engine or, if running streams can be moved, at any
-// other engine. The errors of length estimates over all streams of a service add up as a square
-// root, so each engine has to keep less of a margin the more engines there are.
+// other engine. The errors of length estimates partly cancel (their sum grows as the square
+// root of the number of streams), so each engine has to keep less of a margin the more engines
+// there are.
 func (f *flow) margin() float64 {
 	return f.config.LengthEstimateMargin * math.Sqrt(f.poolingFactor())
 }
--- a/forward/move.go
+++ b/forward/move.go
@@ -14,10 +14,10 @@
 
 // A running stream is moved to another engine, together with its KV memory, when its own engine
 // is about to run out of memory or is leaving. If no stream were moved, an engine that runs out
-// of memory preempts a stream and reads it again, 3,500 to 5,200 tokens, while all its other
-// streams pause. A leaving engine breaks off the streams that outlast it. The memory of a
-// stream, some 0.1 GB, is transferred in a few milliseconds. The run stays the same, so streams
-// that must not be repeated can be moved too.
+// of memory would preempt a stream and read its 3,500 to 5,200 tokens again, while all its
+// other streams pause. A leaving engine would break off the streams that outlast it. The memory
+// of a stream, some 0.1 GB, is transferred in a few milliseconds. The run stays the same, so
+// streams that must not be repeated can be moved too.
 
 // move is the transfer of a stream from one decode engine to another.
 type move struct {
--- a/forward/plain.go
+++ b/forward/plain.go
@@ -65,7 +65,7 @@
 	answer, err := f.Backends.Call(ctx, f.entry(chosen), f.request, f.deadline)
 	f.record(stepCall, callResult(answer, err), "server", chosen.Name, "inFlight", chosen.Server.InFlight())
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		// A caller that left says nothing about the server.
+		// If the caller disconnected, the failed call says nothing about the server.
 		f.updateServer(chosen.Server, err)
 	}
 	f.recordSend(ctx, chosen, err)
--- a/forward/read.go
+++ b/forward/read.go
@@ -21,7 +21,7 @@
 	ahead := g.prefill.Server.PrefillTime(g.request.Generation.PromptTokens)
 	_, measured := g.prefill.Server.Prefills.Time(1)
 	landing := clock.Now().Add(ahead + g.config.FirstTokenMargin)
-	// Nothing is known of an engine without measurements. Its first prompts provide them.
+	// An engine's reading speed is unknown until its first prompts have been read.
 	g.readAtDecode = measured && landing.After(g.target)
 	if !g.readAtDecode {
 		return nil
@@ -207,7 +207,7 @@
 
 // decodeElsewhere sends a request to another decode engine after the first one turned out not
 // to be a decode engine, is leaving or did not accept it. sent reports whether the request was
-// sent to the first one. A prefill's result is kept only for a short while.
+// sent to the first one. It fails if the prefill's result is about to expire.
 func (g *generation) decodeElsewhere(failed *stepError, sent bool) (*Stream, *stepError) {
 	expires := g.readAt.Add(g.service.Engine.Handle - g.config.PrefillExpiryMargin)
 	if g.result != "" && clock.Now().After(expires) {
--- a/forward/regions.go
+++ b/forward/regions.go
@@ -8,7 +8,7 @@
 
 // A route and a team may each name the regions that may serve them, and both limits apply. The
 // request then goes only to servers in those regions, and so does everything that belongs to
-// it: prefill results, reservations and streams that move.
+// it: prefill results, reservations and streams that are moved to another engine.
 
 // regions is the set of regions that may serve a request; nil allows all.
 type regions map[string]bool
--- a/forward/rerun.go
+++ b/forward/rerun.go
@@ -12,8 +12,8 @@
 
 // A stream whose engine crashes, breaks off or falls silent continues at another engine, after
 // the last whole event that its caller has, if its route allows it. Otherwise the caller of a
-// silent stream waits until it gives up, and then comes back to have its prompt read again all
-// the same.
+// silent stream waits until it gives up, and then sends the request again, so that its prompt
+// is read again anyway.
 
 // mayRerun reports whether the request may run at one more engine.
 func (g *generation) mayRerun() bool {
@@ -68,8 +68,9 @@
 	return stallPauses * g.route.TBT
 }
 
-// watchForStall returns a context for one run that ends when the run stalls and can continue
-// at another engine. The silence of a server alone ends no answer.
+// watchForStall returns a context for one run that ends when the run stalls and can continue at
+// another engine. If no other engine could take the run over, a silent server's run is not
+// ended.
 func (g *generation) watchForStall() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(g.ctx)
 	g.stallTimer = nil
--- a/forward/suspect.go
+++ b/forward/suspect.go
@@ -35,9 +35,9 @@
 // errPoison is the error of a step that was skipped because the request crashes servers.
 var errPoison = errors.New("servers crashed during earlier attempts of the same request")
 
-// admit ends a request at once that must not be sent to servers; nil lets it continue. The
-// caller gets status 502 and not 503, because the request has run and sending it again would
-// not help.
+// admit returns the reply that ends a request which must not be sent to servers; nil lets it
+// continue. The caller gets status 502 and not 503, because the request has run and sending it
+// again would not help.
 func (f *flow) admit() *Reply {
 	if !f.Poison.HasSuspects() {
 		return nil
--- a/forward/team.go
+++ b/forward/team.go
@@ -17,8 +17,9 @@
 	Refund(team string, cost float64, now time.Time)
 }
 
-// authenticate finds the team that a request belongs to, and ends a request without a key of
-// the table. The log shows the key as the short key digest that operators see.
+// authenticate finds the team that a request belongs to, and ends a request whose API key is
+// missing or not in the table. The log shows the key as the short key digest that operators
+// see.
 func (f *flow) authenticate(view *table.View) *Reply {
 	if !view.Keyed || f.route.Public {
 		return nil
