--- a/backpressure/cold.go
+++ b/backpressure/cold.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// cold is the rate that a server which has just started can handle until it is warm. It works
-// like a rate limit, but it comes from the list of backend servers and its end is known.
+// cold is the rate that a cold server (one that started recently and can take few requests) can
+// handle until it is warm. It works like a rate limit, but it comes from the list of backend
+// servers and its end is known.
 type cold struct {
 	// rate is in requests a second, from all instances together. senders is the number of
 	// instances that share it.
@@ -21,7 +22,7 @@
 	if !now.Before(s.cold.until) {
 		s.cold.allowance.reset(s.tracker.random(), now)
 	}
-	// Each instance that shares the rate may send a burst at once.
+	// Each instance that shares the rate may send a burst of calls without a pause.
 	s.cold.rate, s.cold.until, s.cold.senders = rate, until, max(int((most-rate)/burst), 1)
 	s.wasCold.Store(true)
 	s.tracker.restricted.Store(true)
--- a/backpressure/instances.go
+++ b/backpressure/instances.go
@@ -13,8 +13,8 @@
 	// requests.
 	Self   string
 	Active []string
-	// Silent is the number of instances that sent messages until a short while ago. They may
-	// still be sending requests to servers.
+	// Silent is the number of instances that stopped sending messages a short while ago. They
+	// may still be sending requests to servers.
 	Silent int
 }
 
@@ -30,9 +30,9 @@
 func (i *Instances) reachable() float64 { return float64(max(len(i.Active), 1)) / float64(i.total()) }
 
 // sendersPerRate is the number of instances, beyond the first, that send to a limited server
-// for each request a second that the server accepts. Each of them may send a burst at once, and
-// all bursts together must stay within the tolerance: 5 requests, and half of what the limit
-// allows in 4 s (source: the service requirements).
+// for each request a second that the server accepts. Each of them may send a burst without a
+// pause, and all bursts together must stay within the tolerance for exceeding a limit: 5
+// requests, and half of what the limit allows in 4 s (source: the service requirements).
 const sendersPerRate = 1.0
 
 // sendersFor returns the number of instances that share a limit.
--- a/backpressure/limit.go
+++ b/backpressure/limit.go
@@ -30,19 +30,19 @@
 	return fmt.Sprintf("limited to %.3g/s", l.rate)
 }
 
-// significantChange is the fraction by which a limit must change for siblings to be sent it at
-// once.
+// significantChange is the fraction by which a limit must change to be sent to siblings
+// immediately.
 const significantChange = 0.1
 
 // differsSignificantly reports whether the limit differs enough from the previous one to be
-// logged and sent at once.
+// logged and sent to siblings immediately.
 func (l *limit) differsSignificantly(before *limit) bool {
 	return l.named != before.named || math.Abs(l.rate-before.rate) > significantChange*before.rate
 }
 
 const (
-	// burst is how many calls an instance may send a limited server at once: a generation
-	// takes two, one to reserve memory and one to run.
+	// burst is how many calls an instance may send a limited server without a pause: a
+	// generation takes two, one to reserve memory and one to run.
 	burst = 2
 	// minStaleAfter and maxStaleAfter bound the time without a report after which any instance
 	// may send a limited server a request to learn whether it still is limited. The instances
@@ -54,7 +54,8 @@
 	// probeDoublingTime is the time in which the probability that an instance sends such a
 	// request doubles. On average one of all instances should send it.
 	probeDoublingTime = time.Second
-	// probeWindow is how long an instance that was drawn may take to send the request.
+	// probeWindow is how long an instance that was drawn at random to send that request may
+	// take to do so.
 	probeWindow = 200 * time.Millisecond
 )
 
@@ -97,8 +98,8 @@
 	}
 }
 
-// reset starts the allowance of a server that has just become limited with a random fraction
-// of a call, so that the instances with a share do not all send at once.
+// reset starts the allowance of a server that has just become limited with a random fraction of
+// a call, so that the instances with a share do not all send at the same time.
 func (a *allowance) reset(random float64, now time.Time) {
 	*a = allowance{balance: random, at: now}
 }
--- a/backpressure/rest.go
+++ b/backpressure/rest.go
@@ -14,8 +14,8 @@
 
 const (
 	// jitterFraction is the largest fraction of a backoff that an instance adds to it at
-	// random, and maxJitter bounds the addition. Without it all rejected instances would
-	// return at once.
+	// random, and maxJitter bounds the addition. Without it all rejected instances would send
+	// again at the same time.
 	jitterFraction = 0.1
 	maxJitter      = 300 * time.Millisecond
 	// trialTimeout is how long an instance waits for the answer to the one request after a
--- a/backpressure/server.go
+++ b/backpressure/server.go
@@ -58,7 +58,7 @@
 	state
 	cold      cold
 	allowance allowance
-	// lastUrgent is when siblings were last sent a change at once.
+	// lastUrgent is when a change of this server was last sent to siblings immediately.
 	lastUrgent time.Time
 }
 
@@ -208,7 +208,7 @@
 }
 
 // urgentInterval is the minimum time between two changes of a server that are sent to siblings
-// at once: a server may report a change with each answer.
+// immediately: a server may report a change with each answer.
 const urgentInterval = 100 * time.Millisecond
 
 // markReported notes that the server has reported a limit, a drain or a backoff. The caller
--- a/backpressure/tracker.go
+++ b/backpressure/tracker.go
@@ -43,7 +43,7 @@
 type Tracker struct {
 	random func() float64
 	// onChange, if set, is called with each change. onUrgent, if set, is called when a change
-	// should be sent to siblings at once.
+	// should be sent to siblings immediately.
 	onChange func(Change)
 	onUrgent func()
 	// instances are the instances that share the rate limits.
@@ -51,8 +51,8 @@
 	// observations is the last number given to an answer.
 	observations atomic.Uint64
 
-	// restricted is set once any server has reported a limit, a drain or a backoff, or was
-	// cold.
+	// restricted is set once any server has reported a limit, a drain or a backoff, or was cold
+	// (started recently and could take few requests).
 	restricted atomic.Bool
 
 	mu      sync.Mutex
@@ -72,8 +72,8 @@
 	return t
 }
 
-// OnChange sets the functions that are called for each change, and when a change should be
-// sent to siblings at once. It must be called before any other method.
+// OnChange sets the functions that are called for each change, and when a change should be sent
+// to siblings immediately. It must be called before any other method.
 func (t *Tracker) OnChange(onChange func(Change), onUrgent func()) {
 	t.onChange, t.onUrgent = onChange, onUrgent
 }
--- a/backpressure/update.go
+++ b/backpressure/update.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Update is what an instance sends its siblings of what servers report.
+// Update holds the reports of servers that an instance sends to its siblings.
 type Update struct {
 	Limits []LimitReport `cbor:"1,keyasint,omitempty"`
 	Drains []DrainReport `cbor:"2,keyasint,omitempty"`
@@ -144,7 +144,8 @@
 	return now.Before(s.limit.freshUntil) || now.Before(s.drain.freshUntil)
 }
 
-// Merge applies an update from a sibling. With relay set, new reports are sent on at once.
+// Merge applies an update from a sibling. With relay set, new reports are sent on to siblings
+// immediately.
 func (t *Tracker) Merge(update *Update, by string, relay bool, now time.Time) {
 	if update == nil {
 		return
