--- a/poison/blame.go
+++ b/poison/blame.go
@@ -54,11 +54,11 @@
 // ms (BenchmarkBlame).
 const maxCandidates = 256
 
-// attribute finds the requests that explain the crashes, and assigns each crash to one
-// request. It is greedy: the request with the most crashes is the cause of all of them,
-// and the same step repeats for the remaining crashes. A request that shared a server
-// with the cause is therefore not blamed for that crash. byRequest holds the crashes of
-// each request that has several.
+// attribute finds the requests that explain the crashes, and assigns each crash to one request.
+// It is greedy: the request with the most crashes is the cause of all of them, and the same
+// step repeats for the remaining crashes. A request that shared a server with the cause is
+// therefore not blamed for that crash. byRequest holds the crashes of each request with at
+// least Config.SuspectCrashes of them.
 func (c Config) attribute(byRequest map[Fingerprint]crashSet) map[Fingerprint]blame {
 	found := make(map[Fingerprint]blame)
 	left := c.candidates(byRequest)
--- a/poison/judge.go
+++ b/poison/judge.go
@@ -132,9 +132,9 @@
 	return found
 }
 
-// crashesBeyondBlock counts the crashes beyond those for which a request would have
-// been blocked if they had been known at once. Each of them was as good as a probe. The
-// fingerprint of all callers counts only crashes of successive executions, since the
+// crashesBeyondBlock counts the crashes beyond those for which a request would have been
+// blocked if all crashes had been known immediately. Each of them showed as much as a failed
+// probe. The fingerprint of all callers counts only crashes of successive executions, since the
 // callers' requests run concurrently.
 func (t *Tracker) crashesBeyondBlock(request Fingerprint, blame blame) int {
 	if request.ofAllCallers() {
--- a/poison/update.go
+++ b/poison/update.go
@@ -97,8 +97,8 @@
 	return updates
 }
 
-// appendCrash appends a crash to an update that has room for room more requests, and
-// returns the remaining room. The caller holds the lock.
+// appendCrash appends a crash to an update that may hold room more requests, and returns how
+// many it may hold afterwards. The caller holds the lock.
 func (t *Tracker) appendCrash(update *Update, server serverRun, now time.Time, room int) int {
 	crash := t.crashes[server]
 	end := Crash{Server: uint64(server), AgeMillis: now.Sub(crash.at).Milliseconds()}
@@ -169,8 +169,8 @@
 	return all
 }
 
-// marksToSend returns the fresh marks and up to old others, limited to
-// Config.UpdateMarks. Map iteration order varies the selection.
+// marksToSend returns the fresh marks and as many others as old allows, limited to
+// Config.UpdateMarks together. Map iteration order varies the selection.
 func (t *Tracker) marksToSend(marks map[Fingerprint]mark, old int, now time.Time) []Mark {
 	var sent []Mark
 	for request, one := range marks {
@@ -222,8 +222,8 @@
 	return isNew
 }
 
-// startTimes returns the start times of the requests that were running on a server when
-// it crashed, limited to the first most requests.
+// startTimes returns the start times of the requests that were running on a server when it
+// crashed, limited to the given number of requests.
 func (e Crash) startTimes(crashed time.Time, most int) map[Fingerprint]time.Time {
 	began := make(map[Fingerprint]time.Time, min(len(e.Requests), most))
 	for _, one := range e.Requests[:min(len(e.Requests), most)] {
