--- a/allotment/ledger.go
+++ b/allotment/ledger.go
@@ -21,21 +21,23 @@
 
 // Limit is what a team may use, in units of its own: requests or tokens.
 type Limit struct {
-	// Rate is in units a second. Burst is what may be used at once in addition.
+	// Rate is in units a second. Burst is what may be used in addition at any one moment.
 	Rate  float64
 	Burst float64
 }
 
 // Config configures a Ledger.
 type Config struct {
-	// Slack is what a team may use at once beyond its burst, in units. It avoids refusals for
-	// teams that keep to their rate on average when some of their requests arrive together.
+	// Slack is what a team may use beyond its burst at any one moment, in units. It avoids
+	// refusals for teams that keep to their rate on average when some of their requests arrive
+	// together.
 	Slack float64
 	// RepeatFor is how long a change of a total is repeated to other instances. It is longer
 	// than several lost datagrams in a row.
 	RepeatFor time.Duration
 	// RememberFor is how long the history of this instance's own total is kept. It is longer
-	// than the total takes to come back in a message of a hub.
+	// than the total takes to come back in a message of a hub (an instance that exchanges
+	// messages with other zones for its zone).
 	RememberFor time.Duration
 }
 
@@ -61,7 +63,7 @@
 	Team    string
 	Cost    float64
 	Balance float64
-	// Used is the fraction used of what the team may use at once, from 0 to 1.
+	// Used is the fraction used of what the team may use at one moment, from 0 to 1.
 	Used float64
 	// Share is the share of the team's rate that this instance could use. Known is the time
 	// since the last message from other instances, or 0 if there was none.
@@ -185,7 +187,7 @@
 	if a.reduced {
 		// When all instances are cut off from each other, each has a share that is less than
 		// one request. If each of them admitted its first request, 60 instances would admit 60
-		// at once.
+		// requests together.
 		a.balance -= l.random() * cost * (1 - l.share)
 		a.reduced = false
 	}
@@ -204,7 +206,7 @@
 	return decision
 }
 
-// Refund releases the cost of a request that never ran.
+// Refund returns the cost of a request that never ran to its team's balance.
 func (l *Ledger) Refund(team string, cost float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -261,7 +263,8 @@
 	// its zone have, as far as this instance has received it.
 	ownTotal  float64
 	zoneTotal float64
-	// lastSpent is when any instance last spent something, as far as this instance knows.
+	// lastSpent is when any instance last admitted or refunded a request, as far as this
+	// instance knows.
 	lastSpent time.Time
 	// history is the course of ownTotal, the oldest entry first.
 	history []historyEntry
