--- a/allotment/play_test.go
+++ b/allotment/play_test.go
@@ -204,9 +204,9 @@
 }
 
 // With fixed shares of the rate and no messages, a small team gets next to nothing at many
-// instances. Sums of what all instances admit serve it. Of a team that sends 0.55 of its rate,
-// four streams a second, fixed shares refused 0.086 with 8 instances and 0.606 with 60, and
-// sums less than 0.0005 (three seeds, 30 s each).
+// instances. With a sum of what all instances admit, it gets its rate. Of a team that sends
+// 0.55 of its rate, four streams a second, fixed shares refused 0.086 with 8 instances and
+// 0.606 with 60, and such sums less than 0.0005 (three seeds, 30 s each).
 func TestFixedSharesStarveSmallTeams(t *testing.T) {
 	refused := func(noMessages bool, instances int) float64 {
 		total, offered := 0.0, 0.0
@@ -279,7 +279,7 @@
 	})
 }
 
-// The cost of a request that never ran is released.
+// The cost of a request that never ran is returned to its team's balance.
 func TestCostOfRequestThatNeverRanIsReleased(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := New(DefaultConfig(), func() float64 { return 0 })
--- a/backpressure/limit_test.go
+++ b/backpressure/limit_test.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// Follow-up requests are sent at once, but they count, so that others wait.
+// Follow-up requests are sent immediately, but they count against the limit, so that other
+// requests wait.
 func TestFollowUpRequestsAreSentAndCounted(t *testing.T) {
 	server, now := singleInstance().Server("s"), time.Now()
 	server.Observe(limitOf(1), now, now)
--- a/backpressure/update_test.go
+++ b/backpressure/update_test.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// A report that arrives before its run is on the list applies once the run is listed.
+// A report that arrives before its server run is on the list of backend servers applies once
+// the run is on it.
 func TestReportOfUnknownRunAppliesOnceListed(t *testing.T) {
 	tracker, now := singleInstance(), time.Now()
 	tracker.Merge(&Update{Drains: []DrainReport{{Server: IDOf("s@2")}}}, "sibling", false, now)
--- a/forward/leaving_test.go
+++ b/forward/leaving_test.go
@@ -10,8 +10,8 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// A request that waits or is retried may outlast the time in which a draining server may
-// still be used. Each send must therefore use the list of servers as it is at that moment,
+// A request that waits or is retried may outlast the time in which a draining server may still
+// be used. Each send must therefore use the list of backend servers as it is at that moment,
 // not as it was when the request arrived. Requests had reached servers that had left.
 
 // drain marks a server as draining in the view of the servers.
--- a/forward/move_test.go
+++ b/forward/move_test.go
@@ -35,7 +35,8 @@
 	runs []streamRun
 	// stopped makes the current run's stream end early.
 	stopped *atomic.Bool
-	// onCopy and onStop return the results of the calls of a move; nil means success.
+	// onCopy and onStop return the results of the two calls that move a running stream to
+	// another engine; nil means success.
 	onCopy func() (PrefillHandle, error)
 	onStop func(stop func()) (PrefillHandle, error)
 }
--- a/forward/pressure_load_test.go
+++ b/forward/pressure_load_test.go
@@ -220,9 +220,9 @@
 	running.Wait()
 }
 
-// TestRequestsWithServersUnderBackpressure checks what callers get while some or all servers
-// of a service report a limit, a drain or a backoff: the other servers take over what they
-// can, and requests that no server can take are refused at once.
+// TestRequestsWithServersUnderBackpressure checks what callers get while some or all servers of
+// a service report a limit, a drain or a backoff: the other servers take over what they can,
+// and requests that no server can take are refused immediately.
 func TestRequestsWithServersUnderBackpressure(t *testing.T) {
 	for _, state := range []condition{conditionLimited, conditionDraining, conditionBackingOff} {
 		for _, affected := range []int{1, 3, 5, 6} {
--- a/forward/pressure_test.go
+++ b/forward/pressure_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// A request beyond all rate limits is refused at once, with a Retry-After of when a server
+// A request beyond all rate limits is refused immediately, with a Retry-After of when a server
 // can take it.
 func TestRequestsBeyondAllRateLimitsAreRefusedAtOnce(t *testing.T) {
 	withBench(t, func(b *bench) {
--- a/forward/team_test.go
+++ b/forward/team_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// A team that has used up its allotment is refused at once with a Retry-After, and nothing
+// A team that has used up its allotment is refused immediately with a Retry-After, and nothing
 // of the request reaches a server.
 func TestATeamIsRefusedBeyondItsAllotment(t *testing.T) {
 	withBench(t, func(b *bench) {
--- a/poison/tracker_test.go
+++ b/poison/tracker_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// A request whose connection broke is retried at once, and may complete elsewhere
-// before it is known that the first server has crashed.
+// A request whose connection broke is retried immediately, and may complete elsewhere before it
+// is known that the first server has crashed.
 func TestRequestCompletedBeforeCrashIsConfirmedIsClear(t *testing.T) {
 	tracker := newTestTracker()
 	for i := range 3 {
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -64,7 +64,8 @@
 }
 
 // BenchmarkOwner measures the search for a worker's steward (the instance that grants
-// reservations there) by the number of instances in the cell.
+// reservations there) by the number of instances in the cell (the group of instances that know
+// each other fully).
 func BenchmarkOwner(b *testing.B) {
 	for _, instances := range []int{8, 32, 128} {
 		b.Run(fmt.Sprintf("instances=%d", instances), func(b *testing.B) {
