--- a/cmd/mastwheel/main.go
+++ b/cmd/mastwheel/main.go
@@ -68,8 +68,8 @@
 
 func operatorFlags() []cli.Flag { return makeOperatorFlags(true) }
 
-// makeOperatorFlags returns the flags of a command that queries an instance's
-// operators' interface. The address is mandatory if required is set.
+// makeOperatorFlags returns the flags of a command that queries the operators'
+// interface of an instance. The address is mandatory if required is set.
 func makeOperatorFlags(required bool) []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{
--- a/config/load.go
+++ b/config/load.go
@@ -37,7 +37,8 @@
 	return Parse(file, data)
 }
 
-// Parse decodes and validates settings. Errors refer to them by the name file.
+// Parse decodes and validates settings. Its errors give file as the name of the
+// settings file.
 func Parse(file string, data []byte) (*Settings, error) {
 	settings := new(Settings)
 	decoder := toml.NewDecoder(bytes.NewReader(data))
@@ -82,7 +83,7 @@
 	return errors.New(strings.Join(lines, "\n"))
 }
 
-// keyLines returns the line of each key, in the form "table.key".
+// keyLines returns the line number of each key. Keys have the form "table.key".
 func keyLines(data []byte) map[string]int {
 	lines := make(map[string]int)
 	parser := unstable.Parser{}
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -216,7 +216,7 @@
 }
 
 // connectionCheckInterval is the pause between two checks for unused connections.
-// There are few of them, and closing one a little late costs nothing.
+// There are few unused connections, and closing one a little late costs nothing.
 const connectionCheckInterval = time.Second
 
 // endpoint is an address and the function that serves it.
@@ -284,7 +284,7 @@
 	return err
 }
 
-// errStopped ends the group of services after a graceful shutdown.
+// errStopped ends the goroutines of Run after a graceful shutdown.
 var errStopped = errors.New("stopped")
 
 const (
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,6 +1,7 @@
-// Package operator serves the HTTP interface for operators: the table and its
-// edits, the state of the instance, the records of requests, health and
-// metrics. It is separate from the callers' interface.
+// Package operator serves the HTTP interface for operators: the table (the
+// configuration that operators change at run time) and its edits, the state of
+// the instance, the records of requests, health and metrics. It is separate from
+// the callers' interface.
 package operator
 
 import (
@@ -65,7 +66,7 @@
 	WaitingTokens int    `json:"waiting_tokens"`
 	FreePieces    int    `json:"free_pieces"`
 	Leaving       bool   `json:"leaving"`
-	// Steward names the instance that grants the server's memory.
+	// Steward names the instance that grants reservations of the server's memory.
 	Steward string `json:"steward"`
 }
 
