--- a/standin/engine.go
+++ b/standin/engine.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// job is one attempt of a request at an engine.
+// job is one attempt (one try of a request) at an engine.
 type job struct {
 	attempt engine.Attempt
 	prompt  string
--- a/standin/engine_faults.go
+++ b/standin/engine_faults.go
@@ -11,16 +11,16 @@
 	Down atomic.Bool
 	// Draining makes the engine report a drain.
 	Draining atomic.Bool
-	// LoseCancelReplies is the number of cancels that take effect without an
+	// LoseCancelReplies is how many of the next cancels take effect without an
 	// answer.
 	LoseCancelReplies atomic.Int64
-	// StallImports is the number of KV transfers that hang.
+	// StallImports is how many of the next KV transfers hang.
 	StallImports atomic.Int64
-	// BreakStreams is the number of streams that end early.
+	// BreakStreams is how many of the next streams end early.
 	BreakStreams atomic.Int64
-	// RepeatTokens is the number of tokens that are sent twice.
+	// RepeatTokens is how many of the next tokens are sent twice.
 	RepeatTokens atomic.Int64
-	// ForeignTokens is the number of tokens that are preceded by a token with
+	// ForeignTokens is how many of the next tokens are preceded by a token with
 	// another request's id.
 	ForeignTokens atomic.Int64
 	// Slow is the duration of every step, in percent of the normal one. 0 and
--- a/standin/log.go
+++ b/standin/log.go
@@ -22,7 +22,7 @@
 type Log struct {
 	// Down makes the log unavailable.
 	Down atomic.Bool
-	// LoseReplies is the number of appends that take effect without an answer.
+	// LoseReplies is how many of the next appends take effect without an answer.
 	LoseReplies atomic.Int64
 	// Retention is the number of records that are kept. It must be set before
 	// the first call.
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -12,7 +12,7 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// HeaderOperation is the header that identifies an operation in the ledger.
+// HeaderOperation is the header with the ID under which the ledger counts a call.
 const HeaderOperation = "Idempotency-Key"
 
 // Plain is a stand-in for the servers of a plain service. They share one ledger,
@@ -20,9 +20,9 @@
 type Plain struct {
 	// CallDuration is the duration of a call.
 	CallDuration time.Duration
-	// LoseReplies is the number of calls that run without an answer.
+	// LoseReplies is how many of the next calls run without an answer.
 	LoseReplies atomic.Int64
-	// Refuse is the number of calls that are refused without being run.
+	// Refuse is how many of the next calls are refused without being run.
 	Refuse atomic.Int64
 
 	mu   sync.Mutex
