--- a/compare/compare.go
+++ b/compare/compare.go
@@ -85,7 +85,7 @@
 	networkDelay = 500 * time.Microsecond
 	// settleTime is the time before the arrivals in which the instances
 	// discover each other. The run also waits this long after the last request
-	// before it reads the ledgers.
+	// before it reads the engines' ledgers (their records of the work that they did).
 	settleTime = 3 * time.Second
 )
 
@@ -141,7 +141,8 @@
 	s.done.Go(func() { inst.Run(ctx) })
 }
 
-// answer records when one caller received its tokens.
+// answer records when one caller received the first and the last token, and how
+// many tokens it received.
 type answer struct {
 	arrived time.Time
 	first   time.Time
--- a/compare/outage.go
+++ b/compare/outage.go
@@ -10,8 +10,8 @@
 	Name     string
 	At       time.Duration
 	Duration time.Duration
-	// engines reports whether an engine is down. log is true if the log is
-	// down.
+	// engines reports whether an engine is down. log is true if the platform's
+	// log, which holds the edits of the table, is down.
 	engines func(name, zone string) bool
 	log     bool
 }
@@ -39,8 +39,8 @@
 	o.apply(s, false)
 }
 
-// apply starts or ends the outage. Engines lose the contents of their memory
-// when it starts.
+// apply starts or ends the outage. When it starts, the affected engines lose the
+// contents of their memory.
 func (o *Outage) apply(s *simulation, down bool) {
 	s.log.Down.Store(o.log && down)
 	zones := s.c.Deployment.Zones
--- a/trial/check.go
+++ b/trial/check.go
@@ -27,7 +27,8 @@
 	promiseSameTable = "an accepted change is in force everywhere"
 )
 
-// check compares the callers' ledger with the ledgers of the stand-ins.
+// check compares the callers' ledger (which answers they received) with the
+// ledgers of the stand-ins (which requests they ran).
 func (t *Trial) check(report *load.Report, held HeldAfter) []Violation {
 	var found []Violation
 	note := func(promise, format string, args ...any) {
@@ -113,8 +114,8 @@
 	return strings.Join(held, ", ")
 }
 
-// isOperation reports whether a name is an operation ID. A call without an
-// operation ID is recorded under its target.
+// isOperation reports whether a name is an operation ID, which identifies a
+// non-idempotent call. A call without one is recorded under its target.
 func isOperation(name string) bool { return len(name) > 3 && name[:3] == "m1~" }
 
 func (t *Trial) checkEntry(entry load.Entry, runs map[string]int, note func(string, string, ...any)) {
--- a/trial/node.go
+++ b/trial/node.go
@@ -26,7 +26,8 @@
 // Tokens holds the operator tokens that every trial uses.
 var Tokens = operator.Tokens{Read: "trial-read-token", Edit: "trial-edit-token"}
 
-// node is one instance of a trial, with the handles needed to kill it.
+// node is one instance of a trial, with its lifeline (the means to kill or pause
+// it within the process).
 type node struct {
 	name      string
 	zone      string
--- a/trial/standins.go
+++ b/trial/standins.go
@@ -7,7 +7,8 @@
 type Standins struct{ env *environment }
 
 // StartStandins starts the stand-ins of a deployment. platform is the address on
-// which the log and the instance list listen. The instance list shows instances.
+// which the log and the instance list listen. instances are the entries of the
+// instance list.
 func StartStandins(deployment Deployment, platform string, instances []instancelist.Entry) (*Standins, error) {
 	env, err := newEnvironment(deployment, platform)
 	if err != nil {
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -32,7 +32,7 @@
 	DisconnectShare float64
 	// Protect selects the protections that are on.
 	Protect request.Protections
-	// Progress, if not nil, is called as requests end.
+	// Progress, if not nil, is called whenever a request has ended.
 	Progress func(ended, total int)
 }
 
@@ -60,7 +60,7 @@
 	Found         []Violation      `json:"found,omitempty"`
 }
 
-// Trial is a running system.
+// Trial is a running system of instances, stand-ins and callers.
 type Trial struct {
 	options   Options
 	env       *environment
