--- a/capacity/experiments.go
+++ b/capacity/experiments.go
@@ -55,8 +55,8 @@
 	if progress != nil {
 		progress("wire")
 	}
-	// Measured first, before a large heap makes the garbage collector use
-	// processor time.
+	// measureWire runs first, because the large heap of later experiments makes the
+	// garbage collector use processor time.
 	slopes, err := measureWire()
 	if err != nil {
 		return nil, err
@@ -286,7 +286,8 @@
 	}, request.DefaultConfig())
 }
 
-// benchTable has as many backend servers of one model as a cell is designed for.
+// benchTable has as many backend servers of one model as a cell (a group of
+// instances that know each other fully) is designed for.
 var benchTable = makeBenchTable(28)
 
 func makeBenchTable(servers int) string {
--- a/capacity/mesh.go
+++ b/capacity/mesh.go
@@ -20,8 +20,8 @@
 	meshWarmUp = 3 * meshPeriod
 )
 
-// mesh is a set of siblings in one process, as many as in a cell. Each sends a
-// heartbeat to every other once a period.
+// mesh is a set of siblings in one process that know each other fully, like the
+// instances of a cell. Each sends a heartbeat to every other one once a period.
 type mesh struct {
 	endpoints []*peer.QUIC
 	conns     []*countingConn
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -27,7 +27,8 @@
 	Failed   float64
 	// KVBytes is the total size of the prompts' KV caches per second.
 	KVBytes float64
-	// OnceCalls is the fraction of requests that carry an operation ID.
+	// OnceCalls is the fraction of requests that carry an operation ID, because
+	// they must run at most once.
 	OnceCalls float64
 }
 
@@ -57,7 +58,8 @@
 const (
 	heartbeatsPerSecond = 1
 	pollsPerSecond      = 4
-	// leaseSeconds is the interval at which a cell renews its lease for orders.
+	// leaseSeconds is the interval at which a cell (a group of instances that know
+	// each other fully) renews the lease on its orders to engines.
 	leaseSeconds  = 8
 	secondsPerDay = 86_400
 	// listSeconds is the interval at which an instance of a large region reads
@@ -262,9 +264,9 @@
 // one load summary per model.
 func (p Plan) SummaryBytes() float64 { return p.Slope("heartbeat_bytes").At(p.Models) }
 
-// SummaryLoad returns the bytes per second that the summarising instance of a
-// cell sends and receives. It sends one summary per second to every other cell
-// of its region and to one cell of each other region.
+// SummaryLoad returns the bytes per second of cells' summaries that one instance
+// sends and receives for its cell. It sends one summary per second to every other
+// cell of its region and to one cell of each other region.
 func (p Plan) SummaryLoad() float64 {
 	return 2 * (p.Cells()/p.Regions + p.Regions) * p.SummaryBytes()
 }
--- a/load/run.go
+++ b/load/run.go
@@ -30,7 +30,8 @@
 	Profile  Profile
 	Arrivals []Arrival
 	Targets  Targets
-	// Callers send the requests in turn. Each keeps its own instance address.
+	// Callers send the requests in turn. Each keeps the address of the instance that it
+	// selected.
 	Callers []*client.Client
 	// ExpectedAnswer, if not nil, returns the expected answer to a prompt, cut off after
 	// a number of tokens.
