--- a/instance/cells.go
+++ b/instance/cells.go
@@ -12,9 +12,9 @@
 	"github.com/mastwheel/mastwheel/table"
 )
 
-// cellLayout describes how the region is divided and which cell this instance
-// belongs to. It is immutable. The loop that reads the instance list replaces
-// it.
+// cellLayout describes how the region is divided into cells (groups of instances that know
+// each other fully) and which cell this instance belongs to. It is immutable. The loop that
+// reads the instance list replaces it.
 type cellLayout struct {
 	// cell is this instance's cell, and zoneCells is the number of cells of its
 	// zone. cell is empty until it is determined. zoneCells is 0 while the
@@ -25,7 +25,7 @@
 	regionSize int
 }
 
-// cells holds what this instance knows of the division of its region.
+// cells holds what this instance knows of the division of its region into cells.
 type cells struct {
 	layout  atomic.Pointer[cellLayout]
 	members atomic.Pointer[cellMembers]
@@ -61,17 +61,17 @@
 	}
 	before := i.cells.layout.Load()
 	if before.cell != next.cell || before.zoneCells != next.zoneCells {
-		// Restrict the servers first: an instance that has its cell counts as
-		// ready.
+		// Restrict the servers first, because the instance counts as ready as soon as its
+		// cell is stored.
 		i.tables.restrict(i.serversOf(next))
 	}
 	i.cells.layout.Store(next)
 }
 
-// serversOf returns a function that reports whether a backend server belongs to
-// the cell of a layout. Servers of plain services (without models) belong to
-// all cells, because they have no steward (the instance that grants
-// reservations at an engine).
+// serversOf returns a function that reports whether a backend server belongs to this
+// instance's cell according to layout. Servers of plain services (without models) belong to
+// all cells, because they have no steward (the instance that grants reservations at an
+// engine).
 func (i *Instance) serversOf(layout *cellLayout) func(*table.BackendView) bool {
 	return func(backend *table.BackendView) bool {
 		if layout.cell == "" {
@@ -122,9 +122,9 @@
 	allReadCellSize = 8
 	// logReaders is how many instances of a larger cell read the log.
 	logReaders = 2
-	// logSilenceTimeout is how long an instance waits for contact with the log,
-	// its own or through a sibling, before it reads the log itself, even if it
-	// is not one of the readers.
+	// logSilenceTimeout is how long an instance goes without contact with the log, by its
+	// own reads or through a sibling, before it reads the log even if it is not one of the
+	// readers.
 	logSilenceTimeout = 3 * time.Second
 )
 
--- a/instance/config.go
+++ b/instance/config.go
@@ -29,7 +29,8 @@
 	Peer   string
 
 	Member member.Config
-	// Cell sets how a large region is divided.
+	// Cell sets how a large region is divided into cells (groups of instances that know
+	// each other fully).
 	Cell cell.Config
 	// Lease applies to the lease on orders to engines.
 	Lease   lease.Config
--- a/instance/entry.go
+++ b/instance/entry.go
@@ -39,11 +39,10 @@
 	ExpiresSeconds int `json:"expires_seconds"`
 }
 
-// SelectEntry selects an instance for a caller. It prefers live instances in the
-// caller's availability zone, draws two at random and selects the one with
-// fewer requests in flight. The caller could not reach the instance to avoid,
-// which may be dead but not yet suspected. ok is false if there is no instance
-// to select.
+// SelectEntry selects an instance for a caller. It prefers live instances in the caller's
+// availability zone, draws two at random and selects the one with fewer requests in flight.
+// avoid names an instance that the caller could not reach and that may be dead but not yet
+// suspected; it is not selected. ok is false if there is no instance to select.
 func (i *Instance) SelectEntry(zone, avoid string) (entry Entry, ok bool) {
 	info, ok := i.selectEntry(zone, avoid)
 	if !ok {
@@ -149,8 +148,8 @@
 	return operation.Status{Outcome: reason.Unknown, Reason: reason.NoWitness}
 }
 
-// WitnessStatus returns the status that the witness records alone give an
-// operation, as when the home is unreachable.
+// WitnessStatus returns the status of an operation from this instance's records as a
+// witness, without a query to the home. It is used when the home is unreachable.
 func (i *Instance) WitnessStatus(id operation.ID) operation.Status {
 	return i.witness.Query(id, i.Uptime())
 }
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -43,7 +43,8 @@
 	heldTimes  heldTimes
 	cells      cells
 	orders     orders
-	// ordersToken and ordersUntil publish the lease for HoldsOrdersLease.
+	// ordersToken and ordersUntil are the fencing token and the end (Unix time in
+	// nanoseconds) of the lease on orders to engines, for HoldsOrdersLease.
 	ordersToken atomic.Uint64
 	ordersUntil atomic.Int64
 
@@ -229,7 +230,7 @@
 // drainPoll is how often a draining instance checks whether it is done.
 const drainPoll = 50 * time.Millisecond
 
-// goEvery calls work at once and then once a period, as goAfter does.
+// goEvery calls work immediately and then once a period, as goAfter does.
 func (i *Instance) goEvery(ctx context.Context, group *errgroup.Group, period time.Duration, work func(context.Context)) {
 	phase := i.phase(period)
 	group.Go(func() error {
@@ -238,10 +239,9 @@
 	})
 }
 
-// goAfter calls work once a period until ctx ends. The first period begins at a
-// random phase, so that instances that start together do not all work at the
-// same moment. Work that needs what other loops read at the start then runs
-// after them.
+// goAfter calls work once a period until ctx ends. The first period begins at a random
+// phase, so that instances that start together do not all work at the same moment. Work
+// that needs data which other loops read at the start then runs after them.
 func (i *Instance) goAfter(ctx context.Context, group *errgroup.Group, period time.Duration, work func(context.Context)) {
 	phase := i.phase(period)
 	group.Go(func() error { return repeat(ctx, phase, period, work) })
--- a/instance/keeper.go
+++ b/instance/keeper.go
@@ -28,12 +28,12 @@
 	logRetryDelay = 500 * time.Millisecond
 )
 
-// tableState holds the fold of the platform's log, the tables that result from
-// it, and the most recent log records.
+// tableState holds the fold of the platform's log (the state after its records are applied
+// in order), the tables that result from it, and the most recent log records.
 type tableState struct {
 	fleet *route.Fleet
-	// inCell reports whether a backend server belongs to this cell. If it is
-	// nil, all servers do.
+	// inCell reports whether a backend server belongs to this instance's cell (the group of
+	// instances that know each other fully). If it is nil, all servers do.
 	inCell func(*table.BackendView) bool
 
 	mu      sync.Mutex
@@ -65,7 +65,7 @@
 // View returns the table in force in compiled form.
 func (s *tableState) View() *table.View { return s.current.Load().view }
 
-// Next returns the log offset that is needed next.
+// Next returns the offset of the next log record to fold.
 func (s *tableState) Next() uint64 { return s.current.Load().next }
 
 // Verdict returns the verdict on an edit if its record was read.
@@ -96,7 +96,7 @@
 	defer s.mu.Unlock()
 	record, err := s.fold.Due()
 	if err != nil {
-		klog.ErrorS(err, "Failed to create the log record of the table snapshot")
+		klog.ErrorS(err, "Failed to encode the table snapshot as a record of the platform's log")
 	}
 	return record
 }
@@ -268,9 +268,9 @@
 	snapshotKey = "snapshot"
 )
 
-// writeSnapshot writes the snapshot that the log lacks. The owner of
-// snapshotKey writes it at once. The other instances write it only if it is
-// still missing at their next check. Two snapshots do no harm.
+// writeSnapshot writes the snapshot that the log lacks. The owner of snapshotKey writes it
+// immediately. The other instances write it only if it is still missing at their next
+// check. Two snapshots do no harm.
 func (i *Instance) writeSnapshot(ctx context.Context) {
 	record := i.tables.dueSnapshot()
 	if record == nil {
@@ -284,7 +284,7 @@
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
 	if _, err := i.deps.Log.Append(ctx, record); err != nil {
-		klog.V(1).InfoS("Failed to append the table snapshot to the log", "err", err)
+		klog.V(1).InfoS("Failed to append the table snapshot to the platform's log", "err", err)
 	}
 }
 
--- a/instance/orders.go
+++ b/instance/orders.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// ordersKeyPrefix, followed by the name of the cell, is the key of the
-	// lease on orders to the engines of the cell.
+	// ordersKeyPrefix, followed by the name of the cell (the group of instances that know
+	// each other fully), is the key of the lease on orders to the engines of the cell.
 	ordersKeyPrefix = "orders "
 	// ordersEvery is how often the lease and the engines are checked.
 	ordersEvery = 500 * time.Millisecond
-	// loadBytesPerSecond is the rate requested for loading weights into one engine,
-	// in bytes per second. It is a fifth of the weight store's rate, so that several
-	// pools can load at once.
+	// loadBytesPerSecond is the rate requested for loading weights into one engine, in
+	// bytes per second. It is a fifth of the weight store's rate, so that several pools can
+	// load at the same time.
 	loadBytesPerSecond = 2_000_000_000
 )
 
@@ -36,8 +36,8 @@
 	candidate *lease.Candidate
 }
 
-// runOrders maintains the lease. While this instance holds it, runOrders has
-// engines load the weights that the table names.
+// runOrders maintains the lease on orders to engines. While this instance holds it,
+// runOrders has engines load the weights that the table names.
 func (i *Instance) runOrders(ctx context.Context) {
 	now := clock.Now()
 	if key := ordersKeyPrefix + i.Cell(); key != i.orders.key {
@@ -80,13 +80,13 @@
 	}
 	record, err := table.LeaseRecord(claim)
 	if err != nil {
-		klog.ErrorS(err, "Failed to create the log record of the lease on orders to engines")
+		klog.ErrorS(err, "Failed to encode the claim of the lease on orders to engines as a record of the platform's log")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
 	if _, err := i.deps.Log.Append(ctx, record); err != nil {
-		klog.V(1).InfoS("Failed to append the lease on orders to engines to the log", "err", err)
+		klog.V(1).InfoS("Failed to append the claim of the lease on orders to engines to the platform's log", "err", err)
 	}
 }
 
--- a/instance/siblings.go
+++ b/instance/siblings.go
@@ -19,8 +19,9 @@
 // siblingTimeout bounds one background query to a sibling.
 const siblingTimeout = time.Second
 
-// readList reads the platform's list of instances. It contacts new instances,
-// notes which ones are draining, and determines the cell of this instance.
+// readList reads the platform's list of instances. It contacts new instances, notes which
+// ones are draining, and determines the cell of this instance (the group of instances that
+// know each other fully).
 func (i *Instance) readList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, siblingTimeout)
 	defer cancel()
@@ -83,13 +84,13 @@
 	return &peer.Message{Heartbeat: &peer.Heartbeat{Info: i.Info()}}
 }
 
-// fullHeartbeatEvery is the number of heartbeats for each one that also carries
-// the addresses. A sibling that missed the first heartbeat learns the addresses
-// from it.
+// fullHeartbeatEvery is the number of heartbeats from one that also carries this instance's
+// addresses to the next. A sibling that missed the first heartbeat learns the addresses from
+// a later one.
 const fullHeartbeatEvery = 8
 
-// heartbeat reports to every sibling that this instance is alive, and the load
-// of its backend servers.
+// heartbeat reports to every sibling that this instance is alive, and the load of the
+// engines whose steward (the instance that grants reservations at an engine) it is.
 func (i *Instance) heartbeat(ctx context.Context) {
 	now := clock.Now()
 	i.members.Tick(now)
@@ -111,9 +112,9 @@
 	}
 }
 
-// sharingInstances returns the number of instances among which caps are split.
-// These are the serving instances, or all listed ones if this instance does not
-// know all of them.
+// sharingInstances returns the number of instances among which the caps on requests in
+// flight are split. These are the serving instances, or all listed ones if this instance
+// does not know all of them.
 func (i *Instance) sharingInstances() int {
 	if layout := i.cells.layout.Load(); layout.zoneCells > 0 {
 		return layout.regionSize
--- a/instance/stewards.go
+++ b/instance/stewards.go
@@ -57,8 +57,9 @@
 	return &peer.Reserved{Refused: grant.Refused, Free: grant.Free, Ahead: grant.Ahead}
 }
 
-// ownerOf returns the name of the instance of this cell that owns a key. The
-// owner of a server's name is the steward of that server.
+// ownerOf returns the name of the instance that owns a key, among those of this cell (the
+// group of instances that know each other fully). The owner of a server's name is the
+// steward of that server.
 func (i *Instance) ownerOf(server string) string {
 	return route.Owner(server, i.cellMemberNames())
 }
