--- a/lease/lease.go
+++ b/lease/lease.go
@@ -44,19 +44,19 @@
 
 // Config sets the durations of a lease.
 type Config struct {
-	// TTL is how long a claim lasts from the moment it was sent. A shorter TTL hands
-	// over sooner after a holder dies. A longer TTL costs fewer appends and survives
-	// a longer outage of the log.
+	// TTL is how long a claim lasts from the moment it was sent. A shorter TTL lets another
+	// instance take the lease sooner after a holder dies. A longer TTL costs fewer appends
+	// and survives a longer outage of the log.
 	TTL time.Duration
 	// RenewEvery is how often a holder renews. It must leave time for a slow
 	// append before TTL ends.
 	RenewEvery time.Duration
-	// Margin is how long before the end of its claim a holder stops, and how long
-	// after it a challenger begins. It allows for clocks that run at different
-	// speeds, and for an order that is in flight.
+	// Margin is how long before the end of its claim a holder stops giving orders, and how
+	// long after that end another candidate may claim the lease (challenge the holder). It
+	// allows for clocks that run at different speeds, and for an order that is in flight.
 	Margin time.Duration
-	// ChallengeDelay is how much longer all candidates but the one that is to challenge
-	// first wait before they challenge.
+	// ChallengeDelay is how much longer a candidate waits before it challenges, if another
+	// candidate is to challenge first.
 	ChallengeDelay time.Duration
 }
 
@@ -76,28 +76,32 @@
 	// was first read.
 	state     State
 	changedAt time.Time
-	// pending holds the claims that were sent and not yet read back, by serial.
-	// lastSent is when the last of them was sent; zero if there is none.
+	// pending holds, by serial, the claims that this instance has sent to the log and has
+	// not yet found when it read the log. lastSent is when the last of them was sent; zero
+	// if there is none.
 	pending  map[uint64]pendingClaim
 	lastSent time.Time
 	serial   uint64
-	// validUntil is when this instance, as the holder, must have stopped.
+	// validUntil is when this instance, as the holder, must have stopped giving orders.
 	validUntil time.Time
 	// claimSent is when the claim that made this instance the holder was sent; zero
 	// if it is not the holder.
 	claimSent time.Time
 }
 
-// pendingClaim is a claim that was sent and not yet read back.
+// pendingClaim is a claim that this instance has sent to the log and has not yet found when
+// it read the log.
 type pendingClaim struct {
 	at time.Time
-	// era is the era of the state that the claim follows. In a later era the claim
-	// may have been appended beside a claim of another holder that was lost.
+	// era is the era of the state that the claim follows. If the claim counts in a later
+	// era, the store may have lost a claim of another holder that counted before, and that
+	// holder still relies on it.
 	era uint64
 }
 
-// NewCandidate returns the participation of an instance in a lease. It begins at now,
-// so a claim that the instance has not read yet may be as young as that.
+// NewCandidate returns the participation of an instance in a lease. It starts at now:
+// another instance's claim that this one has not read yet may have been made as late as
+// that.
 func NewCandidate(config Config, key, self string, now time.Time) *Candidate {
 	return &Candidate{config: config, key: key, self: self, changedAt: now, pending: make(map[uint64]pendingClaim)}
 }
@@ -113,7 +117,8 @@
 		c.claimSent = sent.at
 		c.validUntil = sent.at.Add(c.config.TTL - c.config.Margin)
 	}
-	// All other pending claims follow a claim that is no longer the last.
+	// All other pending claims follow a claim that is no longer the last, so they cannot
+	// count.
 	clear(c.pending)
 	c.lastSent = time.Time{}
 }
@@ -123,7 +128,8 @@
 	return c.state.Token, c.state.Holder == c.self && now.Before(c.validUntil)
 }
 
-// Until returns the time by which the holder must have sent an order.
+// Until returns the time by which this instance, as the holder, must have sent its last
+// order.
 func (c *Candidate) Until() time.Time { return c.validUntil }
 
 // Next returns the claim to send at now, if one is due. first is set if this instance
@@ -142,15 +148,16 @@
 }
 
 func (c *Candidate) due(now time.Time, first bool) bool {
-	// A holder renews without waiting for expiry. An instance that finds its own
-	// claim again in a later era does not: a later claim of another holder may be
-	// lost, and that holder still relies on it.
+	// A holder renews without waiting for expiry. An instance that finds its own claim
+	// again in a later era of the store does not: the store may have lost a later claim of
+	// another holder, which still relies on it.
 	if c.state.Holder == c.self && !c.claimSent.IsZero() {
 		return now.Sub(c.claimSent) >= c.config.RenewEvery
 	}
-	// A store with eras may have lost a claim, even before this instance started. An
-	// empty state proves nothing then, so the instance waits as if a claim was just
-	// made. That costs TTL and Margin once, before the first claim of all.
+	// A store with eras may have lost a claim, even before this instance started. An empty
+	// state does not prove then that no instance holds the lease, so this instance waits as
+	// if a claim was just made. That costs TTL and Margin once, before the first claim of
+	// all.
 	if c.state.Token == 0 && c.state.Era == 0 && first {
 		return true
 	}
--- a/member/listing.go
+++ b/member/listing.go
@@ -18,9 +18,10 @@
 	return listing{shown: make(map[string]bool), leaving: make(map[string]bool)}
 }
 
-// isGone reports whether the instance list no longer shows the instance. A member that has sent
-// heartbeats must have been on the list before, since new instances appear there late. A member
-// that is only known from reports of other instances need not have been.
+// isGone reports whether the instance list no longer shows the instance. A member that has
+// sent heartbeats to this instance counts as gone only if an earlier list showed it, since
+// new instances appear on the list late. That is not required of a member that this
+// instance has had no contact with (introduced).
 func (l listing) isGone(name string, introduced bool) bool {
 	shows, ever := l.shown[name]
 	return l.received && !shows && (ever || introduced)
--- a/member/member.go
+++ b/member/member.go
@@ -32,7 +32,8 @@
 // Config sets the parameters of failure detection.
 type Config struct {
 	// HeartbeatEvery is the interval between heartbeats. A shorter one detects failures
-	// sooner, and costs bandwidth in proportion to the members of a cell.
+	// sooner, and costs bandwidth in proportion to the number of members of a cell (the
+	// group of instances that know each other fully).
 	HeartbeatEvery time.Duration
 	// SuspectAfter is the silence after which a member gets no new work. It should be
 	// longer than a few lost heartbeats and an ordinary pause.
@@ -88,8 +89,8 @@
 	// Uptime is the reading of the instance's monotonic clock when it sent the
 	// heartbeat.
 	Uptime time.Duration `cbor:"7,keyasint" json:"uptime"`
-	// Revision is the table revision in force on the instance, and Next the log offset
-	// that it needs next.
+	// Revision is the revision of the operators' table that is in force on the instance,
+	// and Next the offset of the next record of the platform's log that it needs.
 	Revision uint64 `cbor:"8,keyasint" json:"revision"`
 	Next     uint64 `cbor:"10,keyasint" json:"next_offset"`
 	// InFlight is the number of requests whose home (the instance that the caller is connected
@@ -123,16 +124,17 @@
 	// latest time of contact that any sibling reports.
 	LastContact         time.Time `json:"heard"`
 	LastContactAnywhere time.Time `json:"heard_anywhere"`
-	// Reported is the state last reported by an instance that receives its heartbeats
-	// directly. It is empty if there was no report.
+	// Reported is the member's state as last reported by another instance, which receives
+	// the member's heartbeats directly or passes on such a report. It is empty if there was
+	// no report.
 	Reported State `json:"reported,omitempty"`
 	// Observed is when the state was observed first-hand, by this instance or by another
 	// instance whose report was passed on.
 	Observed time.Time `json:"observed,omitzero"`
 	// reportObserved is the time of the first-hand observation behind Reported.
 	reportObserved time.Time
-	// Vouched is when another instance had contact with the member, if that was later
-	// than known here.
+	// Vouched is when another instance observed that the member was alive, according to a
+	// report of a later heartbeat than the last one known here.
 	Vouched time.Time `json:"vouched,omitzero"`
 }
 
@@ -157,8 +159,9 @@
 	// names holds the sorted names of the siblings, or nil if they have changed.
 	names  []string
 	listed listing
-	// reportsConfirmed is the last contact with the instances that report states. Their
-	// reports hold until then.
+	// reportsConfirmed is the time of the last contact with the instances that report the
+	// states of other members to this one. Members that were reported as alive or leaving
+	// count as in contact up to that time.
 	reportsConfirmed time.Time
 	// watchedZone is the zone whose members this instance receives heartbeats from
 	// directly, and judges by these alone. It is empty for none.
@@ -251,11 +254,12 @@
 	m.markChanged()
 }
 
-// confirmationStep is the resolution of LastContactAnywhere for members whose state others
-// report. With an exact time, each Tick would replace all of them.
+// confirmationStep is the resolution of LastContactAnywhere for members whose state other
+// instances report. With an exact time, each Tick would replace all of them.
 const confirmationStep = time.Second
 
-// Tick recomputes every state at now, and drops members that have been dead for long.
+// Tick recomputes every state at now, and drops members that have been silent for longer
+// than Config.ForgetAfter.
 func (m *Members) Tick(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -280,8 +284,8 @@
 	}
 }
 
-// judgedDirectly reports whether a sibling's silence is judged by the heartbeats that
-// this instance receives itself.
+// judgedDirectly reports whether a sibling's silence is judged by the heartbeats that this
+// instance receives itself, and not by the reports of other instances.
 func (m *Members) judgedDirectly(s Sibling) bool {
 	return s.Reported == "" || (m.watchedZone != "" && s.Zone == m.watchedZone)
 }
@@ -348,9 +352,9 @@
 	return serving
 }
 
-// IsDead reports whether a run of an instance is known to have ended. Either it has
-// been silent for long, or there was contact with a later incarnation, which may be
-// this instance itself.
+// IsDead reports whether a run of an instance is known to have ended. Either it has been
+// silent for so long that its state is Dead, or a later incarnation of the instance is
+// known, which may be this instance itself.
 func (v *View) IsDead(member operation.Member) bool {
 	if member.Name == v.self.Name {
 		return member.Incarnation < v.self.Incarnation
--- a/member/reports.go
+++ b/member/reports.go
@@ -3,12 +3,13 @@
 import "time"
 
 // If there are too many members for each to receive the heartbeats of all others, some
-// receive those of one zone and report the states of its members to the rest.
+// members receive the heartbeats of one zone and report the states of the zone's members to
+// the other members.
 
 // Report applies the state of a member as reported by another instance. The state was
-// observed first-hand at observed, by the reporter or by the instance that it repeats.
-// Older observations are ignored: otherwise two instances that repeat each other's
-// reports would keep a member alive for as long as both do. The report of a known run
+// observed first-hand at observed, by the reporter or by an instance whose report it passes
+// on. Older observations are ignored: otherwise two instances that pass on each other's
+// reports would keep a dead member alive in each other's view. The report of a known run
 // may leave out the addresses.
 func (m *Members) Report(info Info, state State, observed, now time.Time) {
 	if info.Name == m.self.Name {
@@ -51,16 +52,17 @@
 	m.put(known)
 }
 
-// ConfirmReports records contact with an instance that reports states. What was
-// reported of live members still holds.
+// ConfirmReports records contact at now with an instance that reports the states of other
+// members to this one. A member that was last reported as alive or leaving counts as in
+// contact at now.
 func (m *Members) ConfirmReports(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reportsConfirmed = now
 }
 
-// Watch has the members of a zone judged by their direct heartbeats alone, whatever is
-// reported of them. An empty zone ends that.
+// Watch has the members of a zone judged by their direct heartbeats alone, whatever other
+// instances report of them. With an empty zone, no members are judged that way.
 func (m *Members) Watch(zone string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/member/suspicion.go
+++ b/member/suspicion.go
@@ -27,9 +27,9 @@
 func (s Sibling) introduced() bool { return s.LastContact.IsZero() }
 
 // Introduce adds a member that this instance has had no contact with, for example if an
-// engine holds a request whose home (the instance that the caller was connected to)
-// died before this instance started. The member starts as a suspect that siblings are
-// queried about, and dies like any other.
+// engine holds a request whose home (the instance that the caller was connected to) died
+// before this instance started. The member starts as a suspect that siblings are queried
+// about, and counts as dead under the same conditions as any other member.
 func (m *Members) Introduce(member operation.Member, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/request/life.go
+++ b/request/life.go
@@ -52,7 +52,7 @@
 type Event uint8
 
 const (
-	// Admit: the request was admitted within the caps.
+	// Admit: the request was admitted within the caps on requests in flight.
 	Admit Event = iota
 	// ReservationGranted: a steward (the instance that grants reservations at an
 	// engine) has reserved decode memory.
--- a/request/model.go
+++ b/request/model.go
@@ -10,7 +10,8 @@
 	"github.com/mastwheel/mastwheel/route"
 )
 
-// Model is one request to a model service.
+// Model holds the parameters of one caller's request for a completion by a model service (a
+// service whose engines run a model).
 type Model struct {
 	ID        string
 	Model     string
@@ -28,7 +29,8 @@
 	query  route.Query
 	cursor cursor
 	slot   *route.AdmissionSlot
-	// stepsBelowTop is how far the priority is below the highest priority.
+	// stepsBelowTop is how far the request's priority (that of its service plus that of its
+	// team) is below the highest priority in the table.
 	stepsBelowTop int
 	deadline      time.Time
 	firstTokenAt  time.Time
--- a/request/reserve.go
+++ b/request/reserve.go
@@ -21,9 +21,9 @@
 	return route.ReservationKey{RequestID: m.req.ID, Attempt: m.attempt}
 }
 
-// reserve waits for a turn at a prefill engine and a reservation of decode
-// memory as long as the first token can still be in time. It refuses the
-// request as soon as that is no longer possible.
+// reserve waits for a turn at a prefill engine (a place in its prefill queue) and a
+// reservation of decode memory as long as the first token can still be in time. It refuses
+// the request as soon as that is no longer possible.
 func (m *modelRun) reserve(ctx context.Context) (attemptResult, bool) {
 	waited := reason.None
 	for {
@@ -86,9 +86,9 @@
 	return why
 }
 
-// shouldStopWaiting reports whether waiting for reservations is pointless. A
-// turn that comes too late would only come later still. A request whose answer
-// has already begun waits longer.
+// shouldStopWaiting reports whether waiting for reservations is pointless. If the turn
+// offered now is too late for the first token, a later one would be too. A request whose
+// answer has already begun waits longer.
 func (m *modelRun) shouldStopWaiting(why reason.Reason, now time.Time) bool {
 	hopeless := why == reason.DeadlineTooClose && m.config.Policy.RefuseEarly
 	if why == reason.NoBackend {
@@ -108,8 +108,8 @@
 // reservations to resume.
 const resumeTimeout = 10 * time.Second
 
-// reservePrefill requests a turn (a place in an engine's prefill queue) from
-// the stewards of prefill engines in the order of preference.
+// reservePrefill requests a turn from the stewards of prefill engines in the order of
+// preference.
 func (m *modelRun) reservePrefill(ctx context.Context) reason.Reason {
 	query := m.query
 	query.Now = clock.Now()
@@ -162,10 +162,11 @@
 	// unlimitedAhead lets a request whose answer has begun resume however long
 	// the queue is.
 	unlimitedAhead = 1 << 40
-	// firstDecodeStep is the time of the first decode step.
+	// firstDecodeStep is the time allowed for the decode step that generates the first
+	// token.
 	firstDecodeStep = 40 * time.Millisecond
-	// reservationTTL exceeds the time of a prefill and a transfer that meet the
-	// targets.
+	// reservationTTL exceeds the time of a prefill and a transfer that meet the target for
+	// the time to the first token.
 	reservationTTL = 3 * time.Second
 )
 
@@ -228,9 +229,9 @@
 	return route.Headroom(m.slot.ShareRatio(), m.stepsBelowTop)
 }
 
-// decodeTime is how long the decode engine is expected to hold the memory, at
-// the pace of the target. The measured pace is a little faster, and
-// reservations based on it lead to transfers that find no free memory.
+// decodeTime is how long the decode engine is expected to hold the memory, at the target
+// for the time between tokens. The measured time is a little shorter, and reservations
+// based on it lead to transfers that find no free memory.
 func (m *modelRun) decodeTime() time.Duration {
 	return time.Duration(m.req.MaxTokens-m.cursor.next) * m.service.TBT
 }
--- a/request/runner.go
+++ b/request/runner.go
@@ -23,8 +23,8 @@
 // reservations at it).
 type Stewards interface {
 	Reserve(ctx context.Context, server string, req route.Demand) route.Grant
-	// Release returns at once. If the message is lost, the reservation expires
-	// by itself.
+	// Release returns immediately. If the message is lost, the reservation expires by
+	// itself.
 	Release(server string, key route.ReservationKey)
 }
 
@@ -32,7 +32,7 @@
 // another zone that acknowledges an intent).
 type Witnesses interface {
 	Intent(ctx context.Context, id operation.ID) reason.Reason
-	// ReportOutcome returns at once. If the message is lost, the outcome stays unknown
+	// ReportOutcome returns immediately. If the message is lost, the outcome stays unknown
 	// at the witness.
 	ReportOutcome(id operation.ID, status operation.Status)
 }
@@ -92,8 +92,9 @@
 
 // Deps are the dependencies of a Runner.
 type Deps struct {
-	// Home is this instance, as the home of its requests, with its incarnation, in the
-	// form in which it is sent to engines.
+	// Home identifies this instance, with its incarnation, as the home of its requests (the
+	// instance that their callers are connected to), in the form in which it is sent to
+	// engines.
 	Home      string
 	Zone      string
 	View      func() *table.View
@@ -145,7 +146,7 @@
 	return r
 }
 
-// Wait blocks until every cancel was confirmed or abandoned.
+// Wait blocks until every cancel of an attempt was confirmed by the engine or given up.
 func (r *Runner) Wait() { r.cancels.Wait() }
 
 // Result is how a request ended.
@@ -174,8 +175,8 @@
 	intentRecorded bool
 }
 
-// newRun starts the trace of a request. service is nil when no row has its
-// name.
+// newRun starts the trace of a request. service is nil when the table has no service of the
+// name that the caller gave.
 func (r *Runner) newRun(id string, service *table.ServiceView, team string, view *table.View) *run {
 	record := &trace.Request{
 		ID: id, Team: team, Home: r.Home, Revision: view.Revision, Arrived: clock.Now(),
@@ -186,8 +187,8 @@
 	return &run{Runner: r, record: record, service: service}
 }
 
-// refusal returns the reason to refuse a request that does not depend on its
-// content.
+// refusal returns the reason to refuse a request that holds whatever its content is, or
+// reason.None.
 func (r *Runner) refusal(known bool) reason.Reason {
 	if r.View().Revision == 0 || (r.Stale != nil && r.Stale()) {
 		return reason.StaleTable
--- a/request/transfer.go
+++ b/request/transfer.go
@@ -101,8 +101,8 @@
 	return m.pause(ctx, m.config.PollEvery)
 }
 
-// windowForOtherEngine is the time that is kept for a transfer to another
-// engine. It is half of the usual window of 800 ms.
+// windowForOtherEngine is the time that is kept for a transfer to another decode engine. It
+// is half of the 800 ms for which a prefill engine usually keeps the KV cache.
 const windowForOtherEngine = 400 * time.Millisecond
 
 // importTimeoutFactor is the ratio of the timeout of a transfer to its expected
