--- a/caller/openai.go
+++ b/caller/openai.go
@@ -69,7 +69,7 @@
 	User      string `json:"user"`
 }
 
-// completion is a parsed request of either kind.
+// completion is a parsed chat completion request or completion request.
 type completion struct {
 	format answerFormat
 	req    request.Model
--- a/caller/plain.go
+++ b/caller/plain.go
@@ -24,7 +24,7 @@
 	fasthttp.MethodDelete: true, fasthttp.MethodOptions: true, fasthttp.MethodTrace: true,
 }
 
-// plain forwards a call to a plain service.
+// plain forwards a call to a plain service (without models).
 func (s *Server) plain(ctx *fasthttp.RequestCtx) {
 	leave := s.instance.BeginRequest()
 	defer leave()
--- a/caller/server.go
+++ b/caller/server.go
@@ -1,6 +1,6 @@
-// Package caller is the HTTP interface to callers. It returns the address to
-// use, runs OpenAI-compatible completions and calls to plain services (without
-// models), and reports the outcome of an operation.
+// Package caller is the HTTP interface to callers. It returns the address of the instance
+// that a caller should connect to, runs OpenAI-compatible completions and calls to plain
+// services (without models), and reports the outcome of an operation.
 package caller
 
 import (
--- a/caller/shape.go
+++ b/caller/shape.go
@@ -5,8 +5,8 @@
 	"github.com/mastwheel/mastwheel/request"
 )
 
-// answerFormat is one of the two formats of completion answers. whole and chunk
-// are the values of their "object" field.
+// answerFormat is one of the two formats of completion answers. whole and chunk are the
+// values of the "object" field in a whole answer and in a chunk of a stream.
 type answerFormat struct {
 	whole string
 	chunk string
--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,6 @@
-// Package client is a client for callers. It requests the address to use, keeps
-// that answer for as long as the answer says, connects to the address and reads
-// the answers to requests. The operator CLI and the load generator use it.
+// Package client is a client for callers. It requests the address of the instance to
+// connect to, keeps that answer for as long as the answer says, connects to the address and
+// reads the answers to requests. The operator CLI and the load generator use it.
 package client
 
 import (
@@ -32,8 +32,8 @@
 
 // Client is one caller. It is safe for concurrent use.
 type Client struct {
-	// Addresses returns the instances that can be queried for the address to
-	// use.
+	// Addresses returns the addresses of instances that can be queried for the address to
+	// connect to.
 	Addresses func() []string
 	// Zone is the caller's availability zone. It may be empty.
 	Zone string
@@ -46,12 +46,12 @@
 	avoid string
 }
 
-// New returns a caller that knows the addresses of some instances.
+// New returns a Client that knows the addresses of some instances.
 func New(addresses []string, zone string) *Client {
 	return NewWithAddresses(func() []string { return addresses }, zone)
 }
 
-// NewWithAddresses returns a caller whose known addresses may change.
+// NewWithAddresses returns a Client whose known addresses may change.
 func NewWithAddresses(addresses func() []string, zone string) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
 	return &Client{Addresses: addresses, Zone: zone, http: &http.Client{Transport: transport}}
@@ -60,8 +60,8 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Entry returns the address to use. It queries an instance when the cached
-// answer has expired.
+// Entry returns the address of the instance to connect to. It queries an instance when the
+// cached answer has expired.
 func (c *Client) Entry(ctx context.Context) (instance.Entry, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -158,7 +158,8 @@
 // in pieces of about 2,000".
 const PieceTokens = 2000
 
-// bytesPerToken is the usual average for text. Engines report exact counts.
+// bytesPerToken is the usual average number of bytes per token of text. Engines report
+// exact counts.
 const bytesPerToken = 4
 
 // EstimateTokens estimates the token count of a prompt from its size in bytes.
@@ -171,5 +172,5 @@
 	return (promptTokens + maxTokens + PieceTokens - 1) / PieceTokens
 }
 
-// CancelTimeout limits one attempt to send a cancel order.
+// CancelTimeout limits one try to send a cancel order.
 const CancelTimeout = 2 * time.Second
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -16,7 +16,8 @@
 
 // Line is one log line about a request.
 type Line struct {
-	// Step is empty in the line about the end of the request.
+	// Step is the step of the request that the line reports. It is empty in the line about
+	// the end of the request.
 	Step    string
 	Outcome string
 	// AtMillis is the time since the request arrived.
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -48,9 +48,9 @@
 	// Changing lists the servers, by route.ServerID, that the sender has ordered to
 	// change their role.
 	Changing []RoleChange `cbor:"5,keyasint,omitempty"`
-	// TableContactAge and ServersContactAge are the times since the store last answered any instance
-	// with everything that it had of the table and of the list of servers, as far as the
-	// sender knows. Nil means never.
+	// TableContactAge and ServersContactAge are the times since any instance last received
+	// from the platform's store everything that the store had of the table and of the list
+	// of backend servers, as far as the sender knows. Nil means never.
 	TableContactAge   *time.Duration `cbor:"6,keyasint,omitempty"`
 	ServersContactAge *time.Duration `cbor:"7,keyasint,omitempty"`
 	// Hubs is set by senders that use hubs. RequestHub requests that the receiver act as the
@@ -101,16 +101,18 @@
 // Digest is a hub digest: the information that a hub passes on about other instances.
 type Digest struct {
 	// Summed is set if Loads holds sums of loads for some of the servers. The sums cover
-	// the instances of the hub's zone if Zone is set, and otherwise all instances, including
-	// the receiver. The receiver keeps the sums of servers that are not in Loads. The same
-	// sums go to many receivers, so Loads is encoded once. ReceiverUptime is the receiver's uptime when
-	// it sent the last of its heartbeats that the sums include.
+	// the instances of the hub's zone if Zone is set, and otherwise all instances,
+	// including the receiver. The receiver keeps its earlier sums for servers that are not
+	// in Loads. The same sums go to many receivers, so Loads is encoded once.
+	// ReceiverUptime is the receiver's uptime when it sent the last of its heartbeats that
+	// the sums include.
 	Summed         bool          `cbor:"1,keyasint,omitempty"`
 	Zone           bool          `cbor:"2,keyasint,omitempty"`
 	Loads          EncodedLoads  `cbor:"3,keyasint,omitempty"`
 	ReceiverUptime time.Duration `cbor:"8,keyasint,omitempty"`
 	// Observations are states of siblings. They are the changes of the hub's change log
-	// after number After up to number To. If To is 0, they are independent of it.
+	// after number After up to number To. If To is 0, they are independent of the change
+	// log.
 	Observations []Observation `cbor:"4,keyasint,omitempty"`
 	After        uint64        `cbor:"5,keyasint,omitempty"`
 	To           uint64        `cbor:"6,keyasint,omitempty"`
@@ -140,7 +142,8 @@
 	Changes []registry.Change `cbor:"3,keyasint"`
 	// Age is the time since the store returned the changes.
 	Age time.Duration `cbor:"4,keyasint"`
-	// SubsetFingerprint, if not 0, is the fingerprint of the subset of servers that the changes are limited to.
+	// SubsetFingerprint, if not 0, is the fingerprint of the subset of servers to which the
+	// changes are limited.
 	SubsetFingerprint uint64 `cbor:"5,keyasint,omitempty"`
 }
 
--- a/operation/home.go
+++ b/operation/home.go
@@ -109,8 +109,8 @@
 	return answer, true
 }
 
-// Query returns the status of an operation. An id that never began is closed
-// first, so that the answer "not run" stays true.
+// Query returns the status of an operation. The id of an operation that never began is
+// closed first, so that the answer "not run" stays true.
 func (h *Home) Query(id ID, uptime time.Duration) Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/operation/witness.go
+++ b/operation/witness.go
@@ -11,8 +11,8 @@
 // expiry, to report the outcome to callers. Safety does not depend on it.
 const intentRetention = time.Minute
 
-// Witness records intents of homes and ids that it has closed. Its clock is the
-// instance's uptime. It is safe for concurrent use.
+// Witness records the intents that homes have sent to it and the ids that it has closed
+// itself. Its clock is the instance's uptime. It is safe for concurrent use.
 type Witness struct {
 	self       Member
 	maxRecords int
--- a/peer/keys.go
+++ b/peer/keys.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// TLSName is the DNS name that every instance's certificate must contain.
-	// It names the role because the IP addresses of instances change.
+	// TLSName is the DNS name that every instance's certificate must contain. The name is
+	// the same for all instances, because their IP addresses change.
 	TLSName = "instance.mastwheel.internal"
 	// alpn identifies the protocol and its version in the TLS handshake.
 	alpn = "mastwheel/1"
--- a/peer/message.go
+++ b/peer/message.go
@@ -186,7 +186,7 @@
 type Transport interface {
 	// Call sends a request and waits for its answer.
 	Call(ctx context.Context, address string, request *Message) (*Message, error)
-	// Send sends a message without an answer. The message may be lost.
+	// Send sends a message that gets no answer. The message may be lost.
 	Send(address string, message *Message)
 	// Serve passes received messages to handler until ctx ends.
 	Serve(ctx context.Context, handler Handler) error
--- a/registry/older.go
+++ b/registry/older.go
@@ -11,8 +11,9 @@
 // the registry already knows remains valid: a run that is gone or draining stays so even if
 // an older entry contradicts it.
 
-// departure records that a run of a server is gone, and the era of the store in which this
-// was read (the era increases by one each time the store is restored from an older copy).
+// departure records that a run of a server (one start of its process) is gone, and the era
+// of the store in which this was read (the era increases by one each time the store is
+// restored from an older copy).
 type departure struct {
 	id        string
 	born      int64
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -28,7 +28,7 @@
 	Zone    string `cbor:"4,keyasint"`
 	// Release is the version of the server's software.
 	Release string `cbor:"5,keyasint,omitempty"`
-	// Slots is the number of requests that the server processes at once.
+	// Slots is the number of requests that the server processes at the same time.
 	Slots int `cbor:"6,keyasint,omitempty"`
 	// Draining is set once the server accepts no new work.
 	Draining bool `cbor:"7,keyasint,omitempty"`
@@ -68,9 +68,9 @@
 	ID string `cbor:"1,keyasint"`
 	// Entry is nil if the server's entry was removed.
 	Entry *Entry `cbor:"2,keyasint,omitempty"`
-	// Unusable is set if the newest entry does not describe a usable server. The
-	// server is then dropped at once and not treated as expired, because its previous
-	// entry will not return.
+	// Unusable is set if the newest entry does not describe a usable server. The server is
+	// then dropped immediately and not treated as expired, because its previous entry will
+	// not return.
 	Unusable bool `cbor:"3,keyasint,omitempty"`
 }
 
@@ -227,9 +227,9 @@
 	r.reset(snapshot, now)
 }
 
-// ResetWithFilter is like Reset, but first changes which entries the registry keeps. The list must
-// hold all entries that satisfy keep. A nil keep selects all. ResetWithFilter reports whether the list
-// was applied.
+// ResetWithFilter is like Reset, but first changes which entries the registry keeps. The
+// list must hold all entries that satisfy keep.  A nil keep selects all. ResetWithFilter
+// reports whether the list was applied.
 func (r *Registry) ResetWithFilter(snapshot Snapshot, keep func(*Entry) bool, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -333,11 +333,11 @@
 	}
 }
 
-// expiryDeadline returns the end of the grace period for servers that were removed at
-// once without draining. removed is their number. Expired entries return within a fixed
+// expiryDeadline returns the end of the grace period for servers that were removed in one
+// read without draining. removed is their number. Expired entries return within a fixed
 // time of the store's return, whenever their removal is read. If the grace period counted
-// from the removal, a server that left just after the store's return would get work for
-// too long.
+// from the removal, a server that left just after the store's return would get work for too
+// long.
 func (r *Registry) expiryDeadline(removed int, now time.Time) time.Time {
 	many := float64(removed) >= r.config.MassRemovalFraction*float64(len(r.servers))
 	if many {
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -38,9 +38,9 @@
 	WantPrefill int
 }
 
-// Next returns the next change that brings the roles closer to the share of
-// engines that should prefill. An engine that is changing counts as changed.
-// Each role keeps at least one engine.
+// Next returns the next change that brings the roles closer to the share of engines that
+// should prefill. An engine that is changing its role counts in its new role. Each role
+// keeps at least one engine.
 func Next(engines []Engine, share float64) (Change, bool) {
 	change := Change{WantPrefill: WantedPrefill(len(engines), share)}
 	for _, engine := range engines {
--- a/sibling/sibling.go
+++ b/sibling/sibling.go
@@ -1,6 +1,6 @@
-// Package sibling transfers a snapshot of one instance's view to another
-// instance, over HTTP with CBOR. Instances that cannot reach the platform's
-// store request it.
+// Package sibling transfers a snapshot of one instance's view (the table and the list of
+// backend servers) to another instance, over HTTP with CBOR. Instances that cannot reach
+// the platform's store request it.
 package sibling
 
 import (
--- a/subset/census.go
+++ b/subset/census.go
@@ -77,7 +77,7 @@
 	return New(instance, zone, shares)
 }
 
-// halvings returns how often a number of servers can be halved so that an instance
+// halvings returns how many times a number of servers can be halved so that an instance
 // still has enough of them, and each of them enough instances.
 func halvings(servers, enough, instances, users int) uint8 {
 	n := uint8(0)
@@ -87,9 +87,9 @@
 	return n
 }
 
-// Fits reports whether an instance may keep the subset have although Select would
-// return the subset now instead. Near the boundary between two sizes either size is
-// good, and each change has an instance read its subset again.
+// Fits reports whether an instance may keep the subset have although Select would return
+// the subset now instead. Near the boundary between two sizes either size is good, and
+// after each change an instance has to read the servers of its subset again.
 func (c Config) Fits(have, now *Subset, census *Census) bool {
 	if (have == nil) != (now == nil) {
 		return census.total > c.MaxForAll/2 && census.total <= 2*c.MaxForAll
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -42,7 +42,8 @@
 	return s.shares
 }
 
-// Fingerprint distinguishes the subsets of one instance. It is 0 for all servers.
+// Fingerprint distinguishes the subsets of one instance. It is 0 for the nil subset, which
+// holds all servers.
 func (s *Subset) Fingerprint() uint64 {
 	if s == nil {
 		return 0
--- a/table/column.go
+++ b/table/column.go
@@ -76,8 +76,8 @@
 	ColRegions Column = "regions"
 	// ColUnit is the unit of a team's allotment: UnitRequests or UnitTokens.
 	ColUnit Column = "unit"
-	// ColRate is the refill rate of a team's token bucket, in units per second. ColBurst
-	// is the number of units that the team may use at once on top of the rate.
+	// ColRate is the refill rate of a team's token bucket, in units per second. ColBurst is
+	// the number of units that the team may use in one burst on top of the rate.
 	ColRate  Column = "rate"
 	ColBurst Column = "burst"
 	// ColPlainTokens is the cost in tokens of a request that states no token count.
--- a/table/keys.go
+++ b/table/keys.go
@@ -94,8 +94,8 @@
 type Allotment struct {
 	// Unit is UnitRequests or UnitTokens. Empty means UnitRequests.
 	Unit string
-	// Rate is the number of units that the team may use per second. Burst is the number
-	// of units that it may use at once on top of that. A Rate of 0 means no limit.
+	// Rate is the number of units that the team may use per second. Burst is the number of
+	// units that it may use in one burst on top of that. A Rate of 0 means no limit.
 	Rate  float64
 	Burst float64
 	// PlainTokens is the cost in tokens of a request that states no token count.
