--- a/instance/golden_test.go
+++ b/instance/golden_test.go
@@ -236,7 +236,7 @@
 }
 
 // TestSessionNobodyToDecode: all decode engines are draining. The request is
-// refused at once, not only when its first token is due.
+// refused immediately, not only when its first token is due.
 func TestSessionNobodyToDecode(t *testing.T) {
 	runSession(t, func(s *session) {
 		s.farm.Engine(decodeOne).Faults.Draining.Store(true)
--- a/instance/session_test.go
+++ b/instance/session_test.go
@@ -147,7 +147,7 @@
 	return n
 }
 
-// stop kills the instance at once.
+// stop kills the instance immediately, without a drain.
 func (n *node) stop() {
 	n.lifeline.Kill()
 	n.port.Close()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -41,7 +41,7 @@
 	return state
 }
 
-// No two candidates are valid at once, even if claims are delayed, read late or lost,
+// No two candidates are valid at the same time, even if claims are delayed, read late or lost,
 // or their senders freeze.
 func TestNoSecondHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -291,7 +291,7 @@
 	return len(seen), "", nil
 }
 
-// In every order of steps, no two candidates hold the lease at once, tokens never
+// In every order of steps, no two candidates hold the lease at the same time, tokens never
 // decrease, and no two holders have the same token.
 func TestEveryOrderOfStepsKeepsTheLease(t *testing.T) {
 	for _, bounds := range []modelBounds{
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -105,7 +105,7 @@
 
 // TestRemovedDrainingServersDoNotCountAsExpiry covers several draining servers that
 // are removed together with one server that was not draining. This is no mass expiry,
-// so that server must be dropped at once, not two seconds later.
+// so that server must be dropped immediately, not two seconds later.
 func TestRemovedDrainingServersDoNotCountAsExpiry(t *testing.T) {
 	r := registryWith(10)
 	var leaving, gone []Change
--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -30,7 +30,7 @@
 }
 
 // BenchmarkModelRequest measures the cost of the router for one model request
-// with 1 token and with 245 tokens. The engines answer at once.
+// with 1 token and with 245 tokens. The engines answer immediately.
 func BenchmarkModelRequest(b *testing.B) {
 	r := newBenchRunner(b)
 	prompt := string(make([]byte, 12_000))
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestChangesReachPlan checks that the roles reach the plan whether orders to
-// change an engine's role are carried out late or at once. It allows no more
+// change an engine's role are carried out late or immediately. It allows no more
 // orders than needed, and no role may be left without an engine.
 func TestChangesReachPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
