--- a/edge/backpressure.go
+++ b/edge/backpressure.go
@@ -30,9 +30,10 @@
 		"ageMillis", change.Age.Milliseconds())
 }
 
-// mergeBackpressure merges the server status reports that a sibling sends. With hubs, the
-// reports are forwarded, so that they reach all instances through the hubs. In the mesh each
-// instance already sends its reports to all others.
+// mergeBackpressure merges the server status reports that a sibling sends. With hubs (the
+// instances that distribute the state of their zone), the reports are forwarded, so that they
+// reach all instances through the hubs. Without hubs each instance already sends its reports to
+// all others.
 func (in *Instance) mergeBackpressure(message heartbeat.Message, now time.Time) {
 	in.Fleet.Backpressure.Merge(message.Pressure, message.From.Name, in.usesHubs(), now)
 }
--- a/edge/beat.go
+++ b/edge/beat.go
@@ -11,7 +11,8 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// heartbeatLoop sends heartbeats until ctx ends, and an extra one whenever its state has changed.
+// heartbeatLoop sends heartbeats until ctx ends, and an extra one whenever the state of this
+// instance has changed.
 func (in *Instance) heartbeatLoop(ctx context.Context) {
 	var announced []heartbeat.Load
 	sent, turn := time.Time{}, 0
@@ -38,8 +39,8 @@
 }
 
 // onCommitted wakes the heartbeat loop so that a change of this instance's commitments (the
-// requests and memory that it has assigned to servers) is sent to its hubs. Without it they would
-// receive the change with the next beat, and the known use of engines' memory would be half a
+// requests and memory that it has assigned to servers) is sent to its hubs. Otherwise the hubs
+// would receive the change with the next beat, and the known use of engines' memory would be half a
 // beat older. Of 3,691 streams, 3,276 were in time with updates two beats old, 3,393 with updates
 // one beat old and 3,530 with updates half a beat old (TestLoadsMustBeFresh).
 func (in *Instance) onCommitted() {
@@ -48,7 +49,7 @@
 	}
 }
 
-// requestUrgentBeat makes the heartbeat loop send a heartbeat at once to all instances that
+// requestUrgentBeat makes the heartbeat loop send a heartbeat immediately to all instances that
 // receive this one's heartbeats.
 func (in *Instance) requestUrgentBeat() {
 	in.urgent.Store(true)
@@ -75,7 +76,7 @@
 	case in.hubs.isHub():
 		quick = min(quick, in.config.HubBeatEvery)
 	case in.registry.View().IsSubset && !in.Allotments.AnyLimited():
-		// Changes in the meantime matter to few instances. Urgent ones wake the loop.
+		// Changes in the meantime matter to few instances. Urgent changes wake the loop.
 		quick = in.config.KeepAliveEvery
 	}
 	least := min(minBeatGap, quick)
@@ -92,7 +93,8 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats at once to all instances that receive this one's heartbeats.
+// sendHeartbeats sends heartbeats immediately to all instances that receive this one's
+// heartbeats.
 func (in *Instance) sendHeartbeats() {
 	if !in.usesHubs() {
 		addresses := in.peers.addresses(clock.Now())
@@ -104,14 +106,14 @@
 
 // minBeatPause returns the least pause between two heartbeats. Siblings that do not know of each
 // other's requests send theirs to the same engine, so the pause is short where there are few
-// siblings. It grows with their number because each datagram costs every sibling.
+// siblings. It grows with their number because every sibling has to process each datagram.
 func (in *Instance) minBeatPause() time.Duration {
 	pause := time.Duration(len(in.members.View().Siblings)) * in.config.MinBeatPausePerSibling
 	return min(max(pause, in.config.MinBeatPause), in.config.Members.HeartbeatEvery)
 }
 
 // urgentMemoryChange is the change of the memory committed at an engine that is sent to siblings
-// at once. It is one percent of an engine's memory in the reference workload.
+// immediately. It is one percent of an engine's memory in the reference workload.
 const urgentMemoryChange = 1000
 
 // loadsChanged reports whether loads have changed so much that siblings would decide
--- a/edge/budgets.go
+++ b/edge/budgets.go
@@ -44,7 +44,8 @@
 
 func (b *budgets) slackShare() float64 { return b.slack / float64(b.instances) }
 
-// setInstances divides the slack among the given number of instances.
+// setInstances divides the slack of each service's retry budget among the given number of
+// instances.
 func (b *budgets) setInstances(instances int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/edge/config.go
+++ b/edge/config.go
@@ -14,7 +14,8 @@
 	Zone string
 	// RegionOf maps availability zones to their regions.
 	RegionOf map[string]string
-	// EntriesAtMost is how many addresses of one answer callers use. 0 means all.
+	// EntriesAtMost is how many of the addresses that Instance.Entry returns callers use. 0
+	// means all.
 	EntriesAtMost int
 	// CallerAddress and SiblingAddress are the addresses to which callers and siblings connect,
 	// each as "ip:port".
@@ -67,7 +68,7 @@
 	RosterAlone time.Duration
 
 	// AnnounceWithin is the time over which instances put themselves on the list of instances
-	// again after the store has lost it, so that their calls are spread.
+	// again after the store was restored from an older copy, so that their calls are spread.
 	AnnounceWithin time.Duration
 
 	// Members configures the detection of failed siblings.
@@ -135,7 +136,8 @@
 	// HubGrace is how long an instance must have been a hub before it reports members as silent.
 	// The members need that time to choose it as their hub.
 	HubGrace time.Duration
-	// ZoneSumExpiresAfter is how long the sum of another zone is valid without renewal, and
+	// ZoneSumExpiresAfter is how long the sum of another zone's commitments (the requests and
+	// memory that its instances have assigned to servers) is valid without renewal, and
 	// CountExpiresAfter the same for the number of instances.
 	ZoneSumExpiresAfter time.Duration
 	CountExpiresAfter   time.Duration
@@ -178,7 +180,8 @@
 	// requirements count it as a violation.
 	AllotmentSlack float64
 	// ColdOverage and ColdSlack bound the requests in any second, from all instances, to a server
-	// that has just started: ColdOverage times its rate plus ColdSlack.
+	// that has just started: ColdOverage times the rate that its service sets for such servers,
+	// plus ColdSlack.
 	ColdOverage float64
 	ColdSlack   float64
 	// AllotmentMaxAge is the greatest age of a hub's report of the teams' balances that an
--- a/edge/dependency.go
+++ b/edge/dependency.go
@@ -15,7 +15,8 @@
 	name string
 
 	mu sync.Mutex
-	// answered is the time of its last answer, and lost is set while it does not answer.
+	// answered is the time of the service's last answer, and lost is set while the service does
+	// not answer.
 	answered time.Time
 	lost     bool
 }
@@ -45,5 +46,5 @@
 	d.lost = true
 }
 
-// logStore logs a failed call to the store that is not retried at once.
+// logStore logs a failed call to the store that is not retried immediately.
 func logStore(what string, err error) { klog.InfoS(what, "dependency", "store", "err", err.Error()) }
--- a/edge/deps.go
+++ b/edge/deps.go
@@ -85,7 +85,8 @@
 	Holder string
 	// Token is the fencing token of the lease.
 	Token uint64
-	// After is the count of accepted orders that the engine must have.
+	// After is the value of EngineStatus.Sequence by which the order was decided. The engine
+	// accepts the order only if its count of accepted orders still has this value.
 	After uint64
 }
 
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -54,7 +54,8 @@
 	outgrown atomic.Pointer[string]
 	// evacuation holds the evacuated zones. It is nil until the first evacuation.
 	evacuation atomic.Pointer[heartbeat.Evacuation]
-	// loadsReceived holds an entry when siblings have sent loads that are not in the sums yet.
+	// loadsReceived holds an entry when siblings have sent loads (the requests and memory that
+	// they have assigned to each server) that are not in the sums yet.
 	loadsReceived chan struct{}
 	stopping      atomic.Bool
 	orders        *orders
@@ -63,8 +64,8 @@
 	longPolls atomic.Bool
 	// longPollsBegin is closed and replaced when longPolls becomes true.
 	longPollsBegin atomic.Pointer[chan struct{}]
-	// urgent is set when siblings must receive a heartbeat at once. woken wakes the heartbeat
-	// loop.
+	// urgent is set when siblings must receive a heartbeat immediately. woken wakes the
+	// heartbeat loop.
 	urgent atomic.Bool
 	woken  chan struct{}
 	// inMesh is set while each instance sends its state to all others.
--- a/edge/era.go
+++ b/edge/era.go
@@ -25,7 +25,7 @@
 		if era <= known {
 			continue
 		}
-		klog.InfoS("Store era increased; adding this instance to the list of instances again", "era", era, "before", known,
+		klog.InfoS("Store has a later era than known, as after it was restored from an older copy; adding this instance to the list of instances again", "era", era, "before", known,
 			"revision", in.Revision(), "position", in.registry.View().Position)
 		began := clock.Now()
 		in.pause(ctx, in.config.AnnounceWithin/2)
@@ -34,7 +34,8 @@
 			failures++
 		}
 		klog.InfoS("This instance was added to the list of instances again", "era", era, "tookMillis", clock.Since(began).Milliseconds(), "failures", failures)
-		// Before the first answer the store era is not known.
+		// known is 0 until the store's first answer, so the era of that answer passes the check
+		// above like a later one.
 		known = era
 	}
 }
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -42,7 +42,8 @@
 	// poll is the poll under way. It is nil between two polls.
 	poll  *poll
 	known bool
-	// failures counts the failed polls in a row, and retryAt is the earliest time of the next.
+	// failures counts the failed polls in a row, and retryAt is the earliest time of the next
+	// poll after a failure.
 	failures int
 	retryAt  time.Time
 	// probing is set while a poll in addition to the long poll is under way.
@@ -78,7 +79,7 @@
 }
 
 // idle waits until this instance begins to leave long polls waiting, or until it is time to check
-// whether it has to read for another reason.
+// whether it has to read from the store for another reason.
 func (f *feed) idle(ctx context.Context, begins <-chan struct{}) {
 	look := time.NewTimer(f.config.IdleCheckEvery)
 	defer look.Stop()
@@ -131,7 +132,7 @@
 }
 
 // begin records a new poll. The first one after a failure does not wait for a change, so that the
-// store's recovery is noticed at once and not only at the next change.
+// store's recovery is noticed immediately and not only at the next change.
 func (f *feed) begin(ctx context.Context) (context.Context, *poll) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -182,7 +183,8 @@
 	}
 }
 
-// answered records an answer to this instance, and the time at which the store had no more data.
+// answered records that the store answered this instance, and the time at which the store had no
+// more data than the answer.
 func (f *feed) answered(at time.Time) {
 	f.store.ok(clock.Now())
 	f.noteAnswer(at, true)
@@ -263,9 +265,9 @@
 		return
 	}
 	f.outdated = old
-	line := "Table or list of servers is known to be current again"
+	line := "This instance's data named in belief (the table or the list of backend servers) is known to be current again"
 	if old {
-		line = "Table or list of servers is no longer known to be current"
+		line = "This instance's data named in belief (the table or the list of backend servers) is no longer known to be current"
 	}
 	fields := []any{"belief", f.name, "progress", f.progress(), "ageMillis", now.Sub(confirmed).Milliseconds(), "failures", f.failures}
 	if f.poll != nil {
--- a/edge/hubbeat.go
+++ b/edge/hubbeat.go
@@ -37,7 +37,7 @@
 	if changed || urgent || in.hubs.takeAcknowledge() {
 		every = 0
 	}
-	// The beat may run a little early.
+	// The beat may run a little early, so nine tenths of the interval are enough.
 	if in.hubs.due(&in.hubs.lastNotify, every*9/10, now) {
 		in.sendToHubs(now, self, chosen, hub, settled, loads)
 	}
@@ -128,9 +128,9 @@
 	in.send(message, to.Peer)
 }
 
-// discoverHubs requests the hubs from some addresses that belong to no known sibling. If no hub
-// or subscriber is in contact with this instance, it sends the request to known siblings too,
-// whatever their state.
+// discoverHubs sends a request for hub digests and for the names of better hubs to some addresses
+// that belong to no known sibling. If no hub or subscriber is in contact with this instance, it
+// sends the request to known siblings too, whatever their state.
 func (in *Instance) discoverHubs(now time.Time, view *member.View, loads []heartbeat.Load) {
 	known := make(map[string]bool, len(view.Siblings))
 	for _, sibling := range view.Siblings {
--- a/edge/hubs.go
+++ b/edge/hubs.go
@@ -49,16 +49,16 @@
 	// since is when this instance became a hub of its zone. It is zero if it is not a hub.
 	since     time.Time
 	changeLog *changeLog
-	// acknowledge is set when the hub should learn at once up to where its change log was
-	// applied.
+	// acknowledge is set when the hub should learn immediately up to where this instance has
+	// applied the hub's change log.
 	acknowledge bool
 	// sent holds the loads of this instance that it recently sent to its hubs.
 	sent []sentLoads
 	// zoneDelta and allDelta track which sums were sent. pause is the shortest time until the
-	// next digests. Only the beat uses these fields.
+	// next digests. Only the heartbeat loop uses these fields.
 	zoneDelta, allDelta sumDelta
 	pause               time.Duration
-	// index finds the servers of those sums. Only the beat uses it.
+	// index finds the servers of those sums. Only the heartbeat loop uses it.
 	index *serverIndex
 	// followed is the hub that this instance follows. It is the instance itself if it is the
 	// best hub.
@@ -196,7 +196,8 @@
 	}
 }
 
-// due reports whether the given interval has passed since last. If so, it sets last to now.
+// due reports whether the given interval has passed since the time in last. If so, it sets that
+// time to now.
 func (h *hubs) due(last *time.Time, every time.Duration, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -257,8 +258,8 @@
 	return len(h.subscribers) > 0
 }
 
-// takeAcknowledge reports whether the hub should receive an acknowledgement at once, and clears
-// the request for it.
+// takeAcknowledge reports whether the hub should immediately receive an acknowledgement of its
+// changes of siblings' states, and clears the request for it.
 func (h *hubs) takeAcknowledge() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -267,9 +268,9 @@
 	return due
 }
 
-// updateLog brings the change log of siblings' states up to date. A hub that has not settled
-// reports only live siblings, since the other siblings may not have learned yet that this
-// instance is a hub.
+// updateLog brings the change log of siblings' states up to date. A hub that has not settled (has
+// been a hub for less than Config.HubGrace) reports only live siblings, since the other siblings
+// may not have learned yet that this instance is a hub.
 func (h *hubs) updateLog(siblings []*member.Sibling, settled bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/edge/ledger.go
+++ b/edge/ledger.go
@@ -103,7 +103,7 @@
 	return func(sibling member.Sibling) bool { return !nearOnly || sibling.Zone == r.zone }
 }
 
-// next returns the states that are due and advances the turn.
+// next returns the states of the siblings whose turn it is and advances the turn.
 func (r *repetition) next(nearOnly bool, turn *int) []heartbeat.Observation {
 	kept := r.all
 	if nearOnly {
--- a/edge/listupdates.go
+++ b/edge/listupdates.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// sendPieces sends one message for each piece of the updates.
+// sendPieces sends one message for each of the pieces into which split has cut the updates.
 func (in *Instance) sendPieces(message heartbeat.Message, pieces []heartbeat.Updates, addresses ...string) {
 	for i := range pieces {
 		message.Updates = &pieces[i]
--- a/edge/mesh.go
+++ b/edge/mesh.go
@@ -38,7 +38,7 @@
 // heartbeats are rare, since datagrams are lost now and then.
 const tolerableLosses = 4
 
-// dueAddresses returns the siblings that receive a heartbeat in a turn.
+// dueAddresses returns the addresses of the siblings that receive a heartbeat in a turn.
 func (in *Instance) dueAddresses(addresses []string, turn, every int) []string {
 	if every == 1 {
 		return addresses
@@ -63,7 +63,7 @@
 	return selected
 }
 
-// sendTo sends a heartbeat with loads and some of the known addresses.
+// sendTo sends addresses a heartbeat that contains loads and some of the known addresses.
 func (in *Instance) sendTo(addresses, known []string, loads []heartbeat.Load) {
 	now := clock.Now()
 	message := in.message(now)
--- a/edge/orders.go
+++ b/edge/orders.go
@@ -150,14 +150,16 @@
 const (
 	// ungatedChanges is up to how many role changes are made whether there is demand for them
 	// now or not. Each change is an order and takes an engine out of service for seconds. With
-	// thousands of engines, correcting a plan that is off by a tenth would take minutes of that.
+	// thousands of engines, correcting roles that differ from the plan by a tenth would take
+	// minutes, with engines out of service all that time.
 	ungatedChanges = 32
 	// minBusyShare is the share of a role's engines that must be busy before many more engines
 	// receive that role.
 	minBusyShare = 0.25
 )
 
-// inDemand reports whether so many engines of a role have work that others should join them.
+// inDemand reports whether so many engines of a role have work that more engines should get the
+// role.
 func (o *orders) inDemand(engines []roles.Engine, role string, now time.Time) bool {
 	others := o.siblingCommitments(now)
 	have, busy := 0, 0
@@ -177,7 +179,8 @@
 	return float64(busy) >= minBusyShare*float64(have)
 }
 
-// sendOrder sends one order under the lease.
+// sendOrder sends an engine the order to change its role, if this instance holds or can claim the
+// service's lease.
 func (o *orders) sendOrder(ctx context.Context, service string, change roles.Change) error {
 	candidate, err := o.acquireLease(ctx, service)
 	if err != nil {
@@ -215,7 +218,7 @@
 		}
 		return err
 	}
-	klog.InfoS("Order to change an engine's role sent", "service", service, "server", change.Engine, "role", change.Role, "token", order.Token,
+	klog.InfoS("Sent a model engine the order to change its role; accepted is false unless the engine confirmed the order", "service", service, "server", change.Engine, "role", change.Role, "token", order.Token,
 		"after", order.After, "prefill", change.Prefill, "decode", change.Decode, "wantPrefill", change.WantPrefill, "accepted", err == nil)
 	if errors.Is(err, engine.ErrStale) {
 		delete(o.leases, service)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -17,8 +17,8 @@
 	self string
 
 	mu sync.Mutex
-	// lastContact is when a message last came from an address, or when it was first named.
-	// Addresses without contact are dropped after a while.
+	// lastContact is when a message last came from an address, or when a message or the
+	// configuration first named it. Addresses without contact are dropped after a while.
 	lastContact map[string]time.Time
 	loads       map[string][]heartbeat.Load // by sibling's name
 	// ownChanges holds the servers that this instance has ordered to change their roles, with
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -102,7 +102,8 @@
 	return f.failures > 0 || !f.known
 }
 
-// probe polls the store for updates at once and forwards them to the siblings.
+// probe polls the store for updates, without waiting at the store for one, and forwards them to
+// the siblings.
 func (f *feed) probe(ctx context.Context) {
 	defer f.endProbe()
 	f.probes.Add(1)
--- a/edge/servers.go
+++ b/edge/servers.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// viewInputs holds the inputs of the view of the servers. list is the part of the servers in
-// use.
+// viewInputs holds the inputs of the view of the servers: the list of backend servers (from), the
+// table (with), the evacuated zones (without) and the subset of the servers that this instance
+// uses (uses). list is the part of from that is in this subset.
 type viewInputs struct {
 	from    *registry.View
 	with    *table.View
@@ -156,7 +157,7 @@
 			klog.InfoS("Server added or updated", "server", server.Run(), "service", server.Service, "address", server.Address, "zone", server.Zone,
 				"role", server.Role, "draining", server.Draining, "position", after.Position)
 		case server.Expired && !old.Expired:
-			klog.InfoS("Server entry expired and may return", "server", server.Run(), "usedForMillis", server.DropAt.Sub(after.Read).Milliseconds(), "position", after.Position)
+			klog.InfoS("Entry of a backend server expired; the server stays on this instance's list for a grace period, since the entry may return", "server", server.Run(), "usedForMillis", server.DropAt.Sub(after.Read).Milliseconds(), "position", after.Position)
 		}
 	}
 	for i := range before.Servers {
--- a/edge/siblings.go
+++ b/edge/siblings.go
@@ -16,7 +16,8 @@
 	"github.com/mastwheel/mastwheel/wait"
 )
 
-// followLoads sums the loads that siblings send, as often as they may send them.
+// followLoads sums the loads (the requests and memory assigned to each server) that siblings send,
+// as often as they may send them.
 func (in *Instance) followLoads(ctx context.Context) {
 	for {
 		select {
@@ -24,7 +25,7 @@
 			return
 		case <-in.loadsReceived:
 		}
-		// Loads that others send meanwhile are included in the sum.
+		// Loads that other siblings send meanwhile are included in the sum.
 		if !wait.For(ctx, in.minBeatPause()) {
 			return
 		}
@@ -109,7 +110,7 @@
 func (in *Instance) handleMessage(message heartbeat.Message) {
 	if message.Known > operation.Incarnation(in.incarnation.Load()) {
 		in.incarnation.Store(uint64(message.Known) + 1)
-		klog.InfoS("Incarnation of this instance raised above the later one that a sibling knows", "incarnation", in.incarnation.Load(), "sibling", message.From.Name)
+		klog.InfoS("Raised the incarnation of this instance because a sibling knows it under a later one", "incarnation", in.incarnation.Load(), "sibling", message.From.Name)
 	}
 	now := clock.Now()
 	for _, peer := range message.Peers {
@@ -166,7 +167,7 @@
 // 6 s in the reference workload.
 const longestChange = 30 * time.Second
 
-// hurryHub makes a hub send digests to its subscribers at once.
+// hurryHub sends hub digests to the subscribers immediately if this instance is a hub.
 func (in *Instance) hurryHub() {
 	if in.usesHubs() && in.hubs.isHub() {
 		in.sendHeartbeats()
@@ -203,7 +204,7 @@
 		err = in.deps.Socket.Send(sibling.Peer, datagram)
 	}
 	if err != nil {
-		klog.InfoS("Failed to send a sibling its later incarnation", "sibling", sibling.Name, "err", err.Error())
+		klog.InfoS("Failed to tell a sibling that this instance knows it under a later incarnation than the sibling uses", "sibling", sibling.Name, "err", err.Error())
 	}
 }
 
--- a/edge/start.go
+++ b/edge/start.go
@@ -15,7 +15,7 @@
 // instances and ten thousand servers that is gigabytes. So only a few read, and they send the
 // data to the other instances.
 
-// startCheckEvery is the pause between two checks whether this instance is to read.
+// startCheckEvery is the pause between two checks whether this instance is to read from the store.
 const startCheckEvery = 100 * time.Millisecond
 
 // awaitsOthers reports whether this instance still leaves the first read to other instances.
--- a/edge/subscribers.go
+++ b/edge/subscribers.go
@@ -25,7 +25,7 @@
 	uses     *subset.Subset
 	outgrown bool
 	// lastDigest is when the instance was last sent a digest, and turn is the sibling whose
-	// state is repeated to it next. Only the beat uses these fields.
+	// state is repeated to it next. Only the heartbeat loop uses these fields.
 	lastDigest time.Time
 	turn       int
 }
@@ -82,7 +82,8 @@
 	return all
 }
 
-// recordDigest records that a subscriber is sent a digest with states up to a turn.
+// recordDigest records that a subscriber is sent a digest, and at which sibling the repetition of
+// states continues in the next one.
 func (h *hubs) recordDigest(name string, turn int, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/edge/sums.go
+++ b/edge/sums.go
@@ -24,7 +24,8 @@
 // maxSentLoads bounds the sent loads that are kept. A hub answers within two beats.
 const maxSentLoads = 32
 
-// sum applies the loads of a hub digest. The caller holds the lock.
+// sum applies the loads of a hub digest to the sums that this instance keeps. The caller holds the
+// lock.
 func (h *hubs) sum(digest *heartbeat.Digest, zone string, now time.Time) {
 	encoded, err := heartbeat.DecodeLoads(digest.Loads)
 	if err != nil {
@@ -99,8 +100,8 @@
 	return due, changed
 }
 
-// differ reports whether others would decide differently by a commitment than by the previous
-// one.
+// differ reports whether other instances would decide differently by a commitment than by the
+// previous one.
 func differ(before, now route.Commitment) bool {
 	off := now.Memory - before.Memory
 	return before.InFlight != now.InFlight || before.Unread != now.Unread || off >= urgentMemoryChange || off <= -urgentMemoryChange
@@ -175,7 +176,7 @@
 	byID map[uint32]*registry.Entry
 }
 
-// index returns the index of the current list. Only the beat uses it.
+// index returns the index of the current list of backend servers. Only the heartbeat loop uses it.
 func (in *Instance) index() *serverIndex {
 	list := in.registry.View()
 	if known := in.hubs.index; known != nil && known.of == list {
--- a/edge/teams.go
+++ b/edge/teams.go
@@ -11,10 +11,11 @@
 // Limits on teams apply to all instances together (package allotment). This file decides which
 // instances count as in contact for that, and which share of the limits this instance may grant.
 
-// slackUsed is the share of the tolerated excess over a team's burst that teams may use at once.
-// The rest covers what instances admit before they receive each other's updates. That is about
-// 130,000 tokens where a team with 213,000 tokens a second requests four times that rate. An
-// excess of a tenth of the bound is tolerated in addition.
+// slackUsed is the share of the tolerated excess over a team's burst (Config.AllotmentSlack) that
+// is added to the capacity of each team's token bucket. The rest covers what instances admit before
+// they receive each other's updates. That is about 130,000 tokens where a team with 213,000 tokens
+// a second requests four times that rate. An excess of a tenth of the bound is tolerated in
+// addition.
 const slackUsed = 0.5
 
 // applyLimits applies the team limits of a table to the ledger.
@@ -83,7 +84,8 @@
 	longestAdoption = 400 * time.Millisecond
 )
 
-// next returns the adoption that follows a at the given time.
+// next returns the record after an update from the hub is adopted at the given time. a is the
+// previous record, or nil for the first update.
 func (a *adoption) next(now time.Time) adoption {
 	if a == nil {
 		return adoption{at: now}
@@ -101,7 +103,7 @@
 	return time.Duration(lateDigest * float64(max(least, a.longest)))
 }
 
-// fresh reports whether the last update of the hub still counts.
+// fresh reports whether the last update of the balances from the hub is recent enough to rely on.
 func (a *adoption) fresh(now time.Time, least time.Duration) bool {
 	return a != nil && now.Sub(a.at) <= max(least, missedDigests*a.longest)
 }
--- a/edge/uses.go
+++ b/edge/uses.go
@@ -74,7 +74,7 @@
 func (in *Instance) needsFullList() bool { return !in.usesHubs() || in.hubs.isHub() }
 
 // reviewSubset decides which servers this instance uses while it knows all of them. It drops the
-// others from the list once the full list is no longer needed here.
+// other servers from its list once this instance no longer needs the full list.
 func (in *Instance) reviewSubset(now time.Time) {
 	list := in.registry.View()
 	if list.IsSubset {
