--- a/cell/cell.go
+++ b/cell/cell.go
@@ -1,7 +1,8 @@
 // Package cell divides the instances of a region into cells. A cell is a group
 // that is small enough for each instance to know all others. The package does no
-// I/O. Instances with the same list compute the same cells. While their lists
-// differ for a moment, cells overlap, which does no other harm.
+// I/O. Instances with the same list of instances compute the same cells. While their
+// lists differ for a moment, the cells that they compute may overlap, which does no
+// further harm.
 package cell
 
 import (
@@ -17,14 +18,16 @@
 // Config sets the size of cells.
 type Config struct {
 	// MaxUndivided is the maximum number of instances of a region that is one cell.
-	// With a larger value the same stewards serve more backend servers, but the
-	// heartbeat traffic grows with its square.
+	// With a larger value the same stewards (a steward is the instance that grants
+	// reservations at an engine) serve more backend servers, but the heartbeat
+	// traffic grows with the square of the value.
 	MaxUndivided int
 	// MeanSize is the mean size of the cells of a larger region. Cells differ in
 	// size, so it must be well below MaxUndivided.
 	MeanSize int
 	// Contacts is the number of instances in each other zone with which an
-	// instance stays in contact, for witnesses and for callers of those zones.
+	// instance stays in contact. It needs them as witnesses (a witness is the instance
+	// in another zone that acknowledges an intent) and for callers of those zones.
 	Contacts int
 }
 
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -29,8 +29,9 @@
 	epoch = time.Now()
 	// initialOffset is the difference of the two system clocks at the start of the process.
 	initialOffset = suspensionOffset()
-	// suspended is the total time for which the process was suspended, in nanoseconds.
-	// readAt is the time of that reading, in nanoseconds since epoch.
+	// suspended is the total time for which the process was suspended, in nanoseconds,
+	// according to the last reading of the system clocks. readAt is the time of that
+	// reading, in nanoseconds since epoch.
 	suspended, readAt atomic.Int64
 	// simulated is the total time added by Suspend, in nanoseconds.
 	simulated atomic.Int64
--- a/connwatch/connwatch.go
+++ b/connwatch/connwatch.go
@@ -1,7 +1,8 @@
 // Package connwatch detects a caller that disconnects while its request is
 // being handled. An HTTP server does not read from the connection during that
 // time, so it would notice only when the next write fails. The package also
-// delivers the answer to a request that was not read completely.
+// makes sure that a caller receives the answer to a request that was not read
+// completely.
 package connwatch
 
 import (
@@ -18,7 +19,8 @@
 // writeTimeout limits one write to a caller that no longer reads.
 const writeTimeout = 10 * time.Second
 
-// Listener accepts connections that can be watched.
+// Listener accepts each connection as a Conn, so that a disconnect of the caller can
+// be detected while its request is being handled.
 type Listener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -30,12 +32,13 @@
 	return &Conn{Conn: conn}, nil
 }
 
-// Conn is a connection that can be watched between its reads.
+// Conn is a caller's connection. Between two reads, Watch detects a disconnect of the
+// caller.
 type Conn struct {
 	net.Conn
 
 	mu sync.Mutex
-	// firstByte is a byte that was received while the connection was watched. It
+	// firstByte is a byte that was received while Watch waited for a disconnect. It
 	// is the first byte of a pipelined request.
 	firstByte    byte
 	hasFirstByte bool
--- a/logging/limit.go
+++ b/logging/limit.go
@@ -17,7 +17,7 @@
 }
 
 // NewLimit returns a limit of perSecond log entries a second on average, and of
-// burst entries at once.
+// burst entries in immediate succession.
 func NewLimit(perSecond, burst float64, now time.Time) *Limit {
 	return &Limit{perSecond: perSecond, burst: burst, tokens: burst, refilled: now}
 }
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -35,12 +35,14 @@
 	// FirstToken and BetweenTokens are in seconds.
 	FirstToken    *prometheus.HistogramVec
 	BetweenTokens *prometheus.HistogramVec
-	// CancelsPending counts attempts whose cancel no engine has confirmed.
+	// CancelsPending counts attempts (an attempt is one try of a request) whose
+	// cancel no engine has confirmed.
 	CancelsPending prometheus.Gauge
 	// CancelTries counts the cancel orders that were sent, including
 	// repetitions.
 	CancelTries prometheus.Counter
-	// Orphans counts the streams of dead homes that this instance cancelled.
+	// Orphans counts the streams that this instance cancelled because their home (the
+	// instance that the caller was connected to) is dead.
 	Orphans prometheus.Counter
 }
 
--- a/oplog/oplog.go
+++ b/oplog/oplog.go
@@ -16,8 +16,8 @@
 	// ErrTooFast means that the log's rate limit refused the append, which took
 	// no effect.
 	ErrTooFast = errors.New("log append rate exceeded")
-	// ErrTruncated means that the records at the requested offset are past
-	// retention.
+	// ErrTruncated means that the log no longer keeps the record at the requested
+	// offset.
 	ErrTruncated = errors.New("log offset past retention")
 )
 
--- a/oplog/position.go
+++ b/oplog/position.go
@@ -23,7 +23,7 @@
 // Offset returns the offset in the position's era.
 func (p Position) Offset() uint64 { return uint64(p) & (1<<offsetBits - 1) }
 
-// Add returns the position that is records later in the same era.
+// Add returns the position that is the given number of records after p in the same era.
 func (p Position) Add(records int) Position { return p + Position(records) }
 
 // String returns the offset, preceded by the era and a colon if the era is not 0.
--- a/reason/reason.go
+++ b/reason/reason.go
@@ -24,8 +24,8 @@
 	Stopping         Reason = "stopping"
 	UnknownKey       Reason = "unknown_key"
 	OverAllotment    Reason = "over_allotment"
-	// CrashesServers and ProbeUnderWay refuse only this attempt. Earlier attempts of
-	// the same request have run.
+	// CrashesServers and ProbeUnderWay refuse only this attempt (one try of a request).
+	// Earlier attempts of the same request have run.
 	CrashesServers Reason = "crashes_servers"
 	ProbeUnderWay  Reason = "probe_under_way"
 	ServersLimited Reason = "servers_limited"
@@ -67,8 +67,8 @@
 type Info struct {
 	Reason  Reason
 	Meaning string
-	// GovernedBy is the table cell or the settings key that sets the limit behind the
-	// reason.
+	// GovernedBy names the rows or columns of the operators' table, or the settings key,
+	// that set the limit behind the reason.
 	GovernedBy string
 }
 
--- a/upstream/answer.go
+++ b/upstream/answer.go
@@ -25,7 +25,7 @@
 const maxStrayBytes = 1 << 20
 
 // discardAnswer reads and discards an answer to another request. It fails for an answer
-// that ends with its connection, because no other answer can follow it.
+// whose end is the end of the connection, because no other answer can follow it.
 func discardAnswer(response *http.Response) error {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return errors.New("answer to another request has neither length nor chunks")
@@ -77,7 +77,7 @@
 
 // TakeConn ends the request as Close does, but returns the connection for another
 // request of the same caller. A request sent on it reaches the run of the
-// server's process that gave this answer, or none. Next returns nil if the
+// server's process that gave this answer, or none. TakeConn returns nil if the
 // connection was closed.
 func (a *Answer) TakeConn() *Conn {
 	if a.done {
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -35,7 +35,7 @@
 	c.pool.decrementOpen()
 }
 
-// Release returns a connection without a request to its pool.
+// Release returns a connection that carries no request to its pool.
 func (c *Conn) Release() { c.release() }
 
 // release returns the connection to its pool. A connection with unexpected
@@ -57,11 +57,11 @@
 	// Matches reports whether an answer with this header belongs to this request.
 	// If nil, every answer does.
 	Matches func(http.Header) bool
-	// OnReceive, if set, is called whenever data of the server is received.
+	// OnReceive, if set, is called whenever data from the server is received.
 	OnReceive func()
 }
 
-// pastDeadline is a deadline that ends a pending read or write at once.
+// pastDeadline is a deadline that ends a pending read or write immediately.
 var pastDeadline = time.Unix(1, 0)
 
 // Do sends a message and reads the header of its answer. The caller must close
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -128,7 +128,7 @@
 	p.idle = kept
 }
 
-// Close closes the idle connections at once and the connections in use when
+// Close closes the idle connections immediately and the connections in use when
 // they are released.
 func (p *Pool) Close() {
 	p.mu.Lock()
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -13,7 +13,8 @@
 var (
 	// ErrNotSent means that no byte of the request left this instance.
 	ErrNotSent = errors.New("no connection to the backend server")
-	// ErrRefused is the ErrNotSent of an address where no process listens.
+	// ErrRefused is the case of ErrNotSent in which no process listens at the server's
+	// address.
 	ErrRefused = errors.WithMessage(ErrNotSent, "connection refused")
 	// ErrBroken means that the request was sent at least in part and that no
 	// complete answer was received. The backend server may have run it.
