--- a/edge/era.go
+++ b/edge/era.go
@@ -25,7 +25,8 @@
 		if era <= known {
 			continue
 		}
-		klog.InfoS("Store has a later era than known, as after it was restored from an older copy; adding this instance to the list of instances again", "era", era, "before", known,
+		// While no era is known (known is 0), the first one is logged too.
+		klog.InfoS("New store era; adding this instance to the list of instances again", "era", era, "before", known,
 			"revision", in.Revision(), "position", in.registry.View().Position)
 		began := clock.Now()
 		in.pause(ctx, in.config.AnnounceWithin/2)
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -265,9 +265,10 @@
 		return
 	}
 	f.outdated = old
-	line := "This instance's data named in belief (the table or the list of backend servers) is known to be current again"
+	// The key belief says whether the table or the list of servers is meant.
+	line := "Table or server list is current again"
 	if old {
-		line = "This instance's data named in belief (the table or the list of backend servers) is no longer known to be current"
+		line = "Table or server list may be out of date"
 	}
 	fields := []any{"belief", f.name, "progress", f.progress(), "ageMillis", now.Sub(confirmed).Milliseconds(), "failures", f.failures}
 	if f.poll != nil {
--- a/edge/servers.go
+++ b/edge/servers.go
@@ -157,7 +157,8 @@
 			klog.InfoS("Server added or updated", "server", server.Run(), "service", server.Service, "address", server.Address, "zone", server.Zone,
 				"role", server.Role, "draining", server.Draining, "position", after.Position)
 		case server.Expired && !old.Expired:
-			klog.InfoS("Entry of a backend server expired; the server stays on this instance's list for a grace period, since the entry may return", "server", server.Run(), "usedForMillis", server.DropAt.Sub(after.Read).Milliseconds(), "position", after.Position)
+			// The entry may return, so the server stays on this instance's list until DropAt.
+			klog.InfoS("Server entry expired; keeping the server for a grace period", "server", server.Run(), "usedForMillis", server.DropAt.Sub(after.Read).Milliseconds(), "position", after.Position)
 		}
 	}
 	for i := range before.Servers {
--- a/edge/siblings.go
+++ b/edge/siblings.go
@@ -204,7 +204,7 @@
 		err = in.deps.Socket.Send(sibling.Peer, datagram)
 	}
 	if err != nil {
-		klog.InfoS("Failed to tell a sibling that this instance knows it under a later incarnation than the sibling uses", "sibling", sibling.Name, "err", err.Error())
+		klog.InfoS("Failed to notify a restarted sibling of its later known incarnation", "sibling", sibling.Name, "err", err.Error())
 	}
 }
 
--- a/forward/memory.go
+++ b/forward/memory.go
@@ -216,8 +216,8 @@
 }
 
 // marginEngines is the number of engines up to which LengthEstimateMargin applies unreduced.
-// Compared with a margin of 0.6, a margin of 0.3 lowers the score of a day of the reference
-// workload by 0.02 with 7 engines and raises it by 0.04 with 30 engines.
+// Compared with a margin of 0.6, a margin of 0.3 lowers the score of a simulated day of
+// the reference workload by 0.02 with 7 engines and raises it by 0.04 with 30 engines.
 const marginEngines = 7.0
 
 // expectedLength returns the caller's estimate of the tokens that a request generates, bounded
--- a/route/forwarding.go
+++ b/route/forwarding.go
@@ -18,8 +18,9 @@
 // ForwardPrefill returns the profile that selects prefill engines. The zone decides
 // only between engines that finish about equally soon: with more weight, one engine's
 // queue grows to three times another's in a burst. The better of two engines drawn at
-// random is selected, as in ForwardDecode. This raises the score by 0.02 with 58
-// instances, and with two engines it selects the better of all.
+// random is selected, as in ForwardDecode. This raises the score of a simulated day of
+// the reference workload by 0.02 with 58 instances, and with two engines it selects the
+// better of all.
 func ForwardPrefill() *Profile {
 	return &Profile{
 		Filters: forwardingFilters,
--- a/route/sizes.go
+++ b/route/sizes.go
@@ -30,8 +30,9 @@
 	minEnded = 20
 	// spareDeviations is how many standard deviations of what the requests of an engine
 	// generate stay free. The requests of one engine in twenty outgrow it (the normal
-	// distribution's 95 in 100). A value of 0.8 scores 0.013 less where answers are as
-	// long as prompts, and 0.004 more where they are a fifth as long.
+	// distribution's 95 in 100). A value of 0.8 lowers the score of a simulated day of
+	// the reference workload by 0.013 where answers are as long as prompts, and raises it
+	// by 0.004 where they are a fifth as long.
 	spareDeviations = 1.645
 )
 
