--- a/instance/instance.go
+++ b/instance/instance.go
@@ -174,13 +174,13 @@
 		return errors.New("draining")
 	}
 	if i.tables.Table().Revision == 0 {
-		return errors.New("no table received yet")
+		return errors.New("no table yet")
 	}
 	if i.Cell() == "" {
 		return errors.New("not on the instance list yet")
 	}
 	if i.Stale() {
-		return errors.New("no contact with the log or a sibling for too long")
+		return errors.New("neither the log nor a sibling was heard for too long")
 	}
 	return nil
 }
--- a/instance/keeper.go
+++ b/instance/keeper.go
@@ -316,7 +316,7 @@
 			return verdict, nil
 		}
 	}
-	return table.Verdict{}, errors.New("wait for the verdict: the log has not returned the record yet; retry with the same edit id")
+	return table.Verdict{}, errors.New("the log has not answered; ask again with the same edit id")
 }
 
 // verdictPoll is how often the verdict on an edit is checked while an operator
